--- a/basalthoist/decisions/admission.py
+++ b/basalthoist/decisions/admission.py
@@ -12,7 +12,7 @@
 LEAST_BURST = 6.0  # requests; less would take chance for surplus
 USUAL_SMOOTHING = 0.05
 MISS_PENALTY, RECOVERY = 0.1, 0.015  # no surplus is admitted once RECOVERY / MISS_PENALTY of requests miss
-LONG_AGO = -8 * SECOND
+DISTANT_PAST = -8 * SECOND
 SHED_FADE = 0.9
 
 
@@ -44,7 +44,7 @@
         self.usual: float = quota * part  # requests a second that come here
         self.came: int = 0
         self.tokens: float = 0.0
-        self.filled_at: int = LONG_AGO
+        self.filled_at: int = DISTANT_PAST
         self.active: dict[TenantQuota, None] = active  # those that have come lately, this one among them
         self.rounds: int = rounds
         self.idle_rounds: int = 0
--- a/basalthoist/distribution/leader_session.py
+++ b/basalthoist/distribution/leader_session.py
@@ -4,7 +4,7 @@
 
 from basalthoist.decisions.random_numbers import Lcg
 
-from .bounds import LONG_AGO, UNCONFIRMED_AGE, Bounds
+from .bounds import DISTANT_PAST, UNCONFIRMED_AGE, Bounds
 from .catalogue import Entry
 from .peer_connection import ConnectionHost, PeerConnection
 from .sessions import RelayState
@@ -51,7 +51,7 @@
     def __init__(self, entries: list[Entry], deadline: int) -> None:
         self.entries = entries
         self.deadline = deadline
-        self.sent_at = LONG_AGO
+        self.sent_at = DISTANT_PAST
 
 
 class LeaderSession:
@@ -77,7 +77,7 @@
         self.bounds = bounds
         self.store = store
         self.connection = PeerConnection(host, bounds, random, now)
-        self.confirmed_at = LONG_AGO  # the view here is as if it had been confirmed just then
+        self.confirmed_at = DISTANT_PAST  # the view here is as if it had been confirmed just then
         self.leader = ""  # the address that a voter named
         self.next_voter = int(random.uniform() * len(voters))
         self.max_sessions = 0  # that the leader allows the relay here; 0: as many as come
--- a/basalthoist/distribution/peer_connection.py
+++ b/basalthoist/distribution/peer_connection.py
@@ -4,7 +4,7 @@
 
 from basalthoist.decisions.random_numbers import Lcg
 
-from .bounds import LONG_AGO, Bounds
+from .bounds import DISTANT_PAST, Bounds
 from .wire import EncodedMessage, Heartbeat, Message, ResyncRequest
 
 MAX_DOUBLINGS = 10  # of the backoff
@@ -35,8 +35,8 @@
         self.failures = 0  # in a row
         self.next_attempt_at = now
         self.heard_at = now
-        self.heartbeat_at = LONG_AGO
-        self.resync_at = LONG_AGO
+        self.heartbeat_at = DISTANT_PAST
+        self.resync_at = DISTANT_PAST
 
     def may_open(self, now: int) -> bool:
         """Whether there is none, and the backoff is over."""
--- a/basalthoist/distribution/subscriber.py
+++ b/basalthoist/distribution/subscriber.py
@@ -4,7 +4,7 @@
 
 from basalthoist.decisions.random_numbers import Lcg
 
-from .bounds import LONG_AGO, UNCONFIRMED_AGE, Bounds, rank
+from .bounds import DISTANT_PAST, UNCONFIRMED_AGE, Bounds, rank
 from .catalogue import TENANT, Catalogue, Entry, digest_bytes
 from .peer_connection import ConnectionHost, PeerConnection
 from .tenants import TenantCache
@@ -69,7 +69,7 @@
         self.random = random
         self.catalogue = hint or Catalogue(-1)
         self.connection = PeerConnection(host, bounds, random, now)
-        self.confirmed_at = LONG_AGO  # the view is as if the leader had confirmed it just then
+        self.confirmed_at = DISTANT_PAST  # the view is as if the leader had confirmed it just then
         self.tenants = TenantCache(self, bounds)
         self.acting_version = self.version  # with the tenants that are cached, as of it
         self.knows_tenants = False  # the filter of their names has come
@@ -101,7 +101,7 @@
     def may_act(self, now: int) -> bool:
         """Whether the node may act on what is here."""
         if not self.bounds.strict:
-            return self.has_hint or self.confirmed_at != LONG_AGO
+            return self.has_hint or self.confirmed_at != DISTANT_PAST
         return self.age(now) <= self.bounds.stale
 
     # Which relay.
