--- a/basalthoist/distribution/subscriber.py
+++ b/basalthoist/distribution/subscriber.py
@@ -98,7 +98,7 @@
         """In tenths of a millisecond: the version here was the latest at some moment within it."""
         return min(now - self.confirmed_at, UNCONFIRMED_AGE)
 
-    def may_act(self, now: int) -> bool:
+    def may_forward_requests(self, now: int) -> bool:
         """Whether the node may act on what is here."""
         if not self.bounds.strict:
             return self.has_hint or self.confirmed_at != DISTANT_PAST
--- a/basalthoist/emulator/distributed.py
+++ b/basalthoist/emulator/distributed.py
@@ -704,7 +704,11 @@
     def verify_settled(self) -> None:
         """All is well: there is a leader, and every node is in touch and at the latest version."""
         latest, leader = max(self.truth), self.author()
-        able = [node.subscriber for node in self.nodes.values() if node.subscriber.may_act(node.now())]
+        able = [
+            node.subscriber
+            for node in self.nodes.values()
+            if node.subscriber.may_forward_requests(node.now())
+        ]
         versions = {subscriber.version for subscriber in able}
         if not leader or versions != {latest} or len(able) < len(self.nodes):
             found = f"author {leader!r}, {len(able)} nodes, {sorted(versions)} of {latest}"
@@ -725,7 +729,11 @@
     def verify_node(self, node: Node) -> None:
         """Not older than what is in force, nor than its bound of staleness, nor another content."""
         subscriber = node.subscriber
-        if not node.alive or not self.distribution_bounds.strict or not subscriber.may_act(node.now()):
+        if (
+            not node.alive
+            or not self.distribution_bounds.strict
+            or not subscriber.may_forward_requests(node.now())
+        ):
             return
         version = subscriber.version
         if version < self.in_force:
--- a/basalthoist/experiments/distributed/hollow.py
+++ b/basalthoist/experiments/distributed/hollow.py
@@ -64,7 +64,7 @@
         self.reached = version
 
     def look(self) -> None:
-        if not self.proven_at and self.subscriber.may_act(boot_time_now()):
+        if not self.proven_at and self.subscriber.may_forward_requests(boot_time_now()):
             self.proven_at = time.monotonic()
 
     def turn(self) -> None:
@@ -205,7 +205,7 @@
         ages = [sub.age(now) for sub in subs]
         fresh = sum(age <= sub.bounds.fresh for age, sub in zip(ages, subs, strict=True))
         return {"nodes": len(subs), "fresh": fresh,
-                "able": sum(sub.may_act(now) for sub in subs),
+                "able": sum(sub.may_forward_requests(now) for sub in subs),
                 "least": min((sub.acting_version for sub in subs), default=-1),
                 "at_least": sum(sub.acting_version >= order.get("version", 0) for sub in subs),
                 "oldest_s": min(max(ages, default=0) / SECOND, 1e6)}  # fmt: skip
--- a/basalthoist/net/optional_parts.py
+++ b/basalthoist/net/optional_parts.py
@@ -147,7 +147,9 @@
         service.descriptors,
     )
     may_send = service.dispatcher.may_send
-    service.dispatcher.may_send = front_end.may_send = lambda: distribution.may_act() and may_send()
+    service.dispatcher.may_send = front_end.may_send = (
+        lambda: distribution.may_forward_requests() and may_send()
+    )
     if service.admin is not None:
         service.admin.calls["config-here"] = distribution.here
         service.admin.deferred_calls["config-status"] = distribution.status
