--- a/basalthoist/emulator/replicas.py
+++ b/basalthoist/emulator/replicas.py
@@ -292,7 +292,7 @@
             now = node.now()
             if node.replica.leads(now):
                 leading.append(node.name)
-            if self.bounds.strict and node.replica.may_forward(now):
+            if self.bounds.strict and node.replica.may_forward_requests(now):
                 self.judge_view(node)
         if len(leading) > 1:
             raise Broken(f"{' and '.join(leading)} lead at once")
--- a/basalthoist/experiments/cluster/cost.py
+++ b/basalthoist/experiments/cluster/cost.py
@@ -87,7 +87,7 @@
     replica = Replica(Nobody(), "n0", ["n0", "n1", "n2"], ["n0", "n1", "n2"], USUAL, Lcg(1), boot_time_now())
     began = time.process_time()
     for _ in range(times):
-        replica.may_forward(boot_time_now())
+        replica.may_forward_requests(boot_time_now())
     asked = time.process_time() - began
     began = time.process_time()
     for _ in range(times):
--- a/basalthoist/fleet/replica.py
+++ b/basalthoist/fleet/replica.py
@@ -99,7 +99,7 @@
         """Whether the view is too old to act on in a strict fleet."""
         return self.view_age(now) > self.bounds.stale
 
-    def may_forward(self, now: int) -> bool:
+    def may_forward_requests(self, now: int) -> bool:
         """Whether this node may forward requests."""
         return not (self.bounds.strict and self.is_stale(now))
 
--- a/basalthoist/net/optional_parts.py
+++ b/basalthoist/net/optional_parts.py
@@ -108,7 +108,7 @@
         service.disk_worker,
         lambda: front_end.draining and not front_end.clients,
     )
-    service.dispatcher.may_send = front_end.may_send = service.fleet.may_forward
+    service.dispatcher.may_send = front_end.may_send = service.fleet.may_forward_requests
     if service.admin is not None:
         add_fleet_calls(service)
 
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -224,7 +224,7 @@
 class Unbounded(Replica):
     """It never asks for how long it has been out of touch."""
 
-    def may_forward(self, now):
+    def may_forward_requests(self, now):
         return self.view_confirmed_at != DISTANT_PAST
 
 
