--- a/basalthoist/net/dispatcher.py
+++ b/basalthoist/net/dispatcher.py
@@ -59,7 +59,7 @@
         health_check += b"\r\n"
         self.health_check_chunks: RequestChunks = lambda: [health_check]
         self.send_gossip: Callable[[list[GossipMessage], list[int]], None] = lambda messages, peers: None
-        self.may_send: Callable[[], bool] = lambda: True
+        self.may_forward_requests: Callable[[], bool] = lambda: True
         self.guard: DecisionGuard = DecisionGuard(timers, log)
         began_at = now()
         self.balancer: Balancer = Balancer(self, configuration.seed, configuration.settings, began_at)
@@ -339,7 +339,7 @@
         call = None
         body_consumed = request.upload is not None and request.upload.consumed
         # Guards against a process that stood still and sends by what it knew before.
-        if not body_consumed and self.may_send():
+        if not body_consumed and self.may_forward_requests():
             call = self.upstream.call(
                 backend,
                 request_chunks,
