--- a/basalthoist/distribution/leader_session.py
+++ b/basalthoist/distribution/leader_session.py
@@ -124,7 +124,7 @@
     def leave(self, now: int) -> None:
         """Another voter is tried."""
         self.host.close()
-        self.on_lost(now)
+        self.on_disconnected(now)
 
     def on_connected(self, now: int) -> None:
         """The connection is open; the session is not accepted yet."""
@@ -132,7 +132,7 @@
         own = self.name, self.incarnation, "relay", self.region
         self.host.send(HandshakeRequest(*own, [], self.store.version, self.store.digest))
 
-    def on_lost(self, now: int) -> None:
+    def on_disconnected(self, now: int) -> None:
         """The connection has ended, or none came about."""
         self.next_voter += 1
         self.connection.lost(now)
--- a/basalthoist/distribution/subscriber.py
+++ b/basalthoist/distribution/subscriber.py
@@ -135,9 +135,9 @@
     def disconnect(self, now: int) -> None:
         """Ends the connection from here."""
         self.host.close()
-        self.on_lost(now)
+        self.on_disconnected(now)
 
-    def on_lost(self, now: int) -> None:
+    def on_disconnected(self, now: int) -> None:
         """The connection has ended, or none came about."""
         if self.connection.address:
             self.avoided.setdefault(self.connection.address, now + self.bounds.max_backoff)
--- a/basalthoist/emulator/distributed.py
+++ b/basalthoist/emulator/distributed.py
@@ -104,7 +104,7 @@
             return
         if message is None:
             self.closed[to] = True
-            end.on_lost(self, to)
+            end.on_disconnected(self, to)
         else:
             end.on_message(self, to, message.message if type(message) is EncodedMessage else message)
 
@@ -204,7 +204,7 @@
             return  # where it is cut, nobody answers, and nothing says so
         if not machine.alive or machine.incarnation != connection.incarnations[ACCEPTOR]:
             connection.closed[OPENER] = True
-            return owner.on_lost(connection, OPENER)
+            return owner.on_disconnected(connection, OPENER)
         if owner.frozen:
             return world.later(TICK, (self.opened, connection))
         world.connections.append(connection)
@@ -311,12 +311,12 @@
         else:
             connection.role.on_message(now, connection.number, message)
 
-    def on_lost(self, connection: SimulatedConnection, to: int) -> None:
+    def on_disconnected(self, connection: SimulatedConnection, to: int) -> None:
         """The other end has closed it."""
         if to == OPENER:
             if connection is self.leader_link.connection:
                 self.leader_link.connection = None
-                self.leader_session.on_lost(self.now())
+                self.leader_session.on_disconnected(self.now())
         elif connection.role is not None:
             connection.role.on_session_ended(self.now(), connection.number)
             self.sessions.pop(connection.number, None)
@@ -416,11 +416,11 @@
             self.subscriber.on_message(self.now(), message)
             self.world.verify_node(self)
 
-    def on_lost(self, connection: SimulatedConnection, to: int) -> None:
+    def on_disconnected(self, connection: SimulatedConnection, to: int) -> None:
         """Its relay has closed it."""
         if connection is self.connection:
             self.connection = None
-            self.subscriber.on_lost(self.now())
+            self.subscriber.on_disconnected(self.now())
 
     def apply_entries(self, entries: list[Entry], version: int) -> None:
         """As host of the subscriber."""
