--- a/basalthoist/emulator/distributed.py
+++ b/basalthoist/emulator/distributed.py
@@ -352,7 +352,7 @@
         """As the leader allows."""
         return self.leader_session.max_sessions
 
-    def on_all_current(self, now: int) -> None:
+    def on_all_nodes_current(self, now: int) -> None:
         """The leader hears of it at once."""
         if self.leader_session.connection.is_up:
             self.leader_session.send_heartbeat(now)
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -509,7 +509,7 @@
         "end_session": lambda self, number, why: sent.append((number, why)),
         "unsent_bytes": lambda self, number: 0,
         "max_sessions": lambda self: 0, "age": lambda self, now: 0, "log": lambda self, line: None,
-        "on_all_current": lambda self, now: None})()  # fmt: skip
+        "on_all_nodes_current": lambda self, now: None})()  # fmt: skip
     now, message = machine.now(), HandshakeRequest(old.name, old.incarnation - 1, "node", "z1", [], -1, b"")
     machine.relay.on_handshake(now, 1_000_001, message)
     assert sent == [(1_000_001, "Redirect"), (1_000_001, "a later incarnation of it is connected")]
