--- a/basalthoist/distribution/leader_session.py
+++ b/basalthoist/distribution/leader_session.py
@@ -114,7 +114,7 @@
             store.digest,
             oldest_version=min(relay.oldest_version, store.version),
             nodes=relay.nodes,
-            nodes_out=relay.nodes_out,
+            inactive_nodes=relay.inactive_nodes,
             pending_version=store.pending_version,
             term=store.term,
             redirected_nodes=relay.redirected_nodes,
--- a/basalthoist/distribution/relay.py
+++ b/basalthoist/distribution/relay.py
@@ -121,8 +121,8 @@
         nodes = sum(session.views.oldest(now) is not None for session in self.sessions.values())
         since = now - self.bounds.heartbeat
         self.redirected_at = {name: at for name, at in self.redirected_at.items() if at > since}
-        nodes_out = len(self.sessions) - nodes
-        return RelayState(self.oldest_version(now), nodes, nodes_out, len(self.redirected_at))
+        inactive_nodes = len(self.sessions) - nodes
+        return RelayState(self.oldest_version(now), nodes, inactive_nodes, len(self.redirected_at))
 
     # Sessions.
 
