--- a/basalthoist/distribution/leader_session.py
+++ b/basalthoist/distribution/leader_session.py
@@ -244,7 +244,7 @@
     def pass_on(self, now: int, call_id: int, again: bool = False) -> None:
         """To the leader, once in a heartbeat's interval until there is an answer."""
         call = self.calls[call_id]
-        if self.connection.is_up and (again or now - call.sent_at >= self.bounds.heartbeat):
+        if self.connection.is_established and (again or now - call.sent_at >= self.bounds.heartbeat):
             call.sent_at = now
             self.host.send(OperatorCall(call_id, call.entries, max(call.deadline - now, 0)))
 
--- a/basalthoist/distribution/subscriber.py
+++ b/basalthoist/distribution/subscriber.py
@@ -169,9 +169,9 @@
             connection.open(now, self.choose_relay(now))
         elif connection.address and connection.is_silent(now):
             self.leave(now, "silent")
-        elif connection.is_up and not self.keep_session(now):
+        elif connection.is_established and not self.keep_session(now):
             return
-        self.tenants.on_tick(now, connection.is_up)
+        self.tenants.on_tick(now, connection.is_established)
 
     def keep_session(self, now: int) -> bool:
         """Sends a heartbeat if it is due; False where the relay is looked at instead, and perhaps left."""
--- a/basalthoist/experiments/distributed/play.py
+++ b/basalthoist/experiments/distributed/play.py
@@ -112,7 +112,7 @@
     # Calls.
 
     def operator(self) -> Operator:
-        able = [one for one in self.operators if one.subscriber.connection.is_up]
+        able = [one for one in self.operators if one.subscriber.connection.is_established]
         if not able:
             raise RunFailed("no operator has a relay")
         return self.chance.choice(able)
@@ -212,7 +212,7 @@
                  or [m.address for m in processes.machines] for region in sizes.REGIONS}  # fmt: skip
         self.operators = [Operator(loop, number, seeds[sizes.region_of(number)], self.timers)
                           for number in range(OPERATORS)]  # fmt: skip
-        while not all(one.subscriber.connection.is_up for one in self.operators):
+        while not all(one.subscriber.connection.is_established for one in self.operators):
             await asyncio.sleep(0.1)
             if time.monotonic() - started > 90:
                 raise RunFailed("operators find no relay")
--- a/basalthoist/net/control/distribution.py
+++ b/basalthoist/net/control/distribution.py
@@ -111,7 +111,7 @@
 
     def call(self, entries: list[Entry], answer: Answer) -> None:
         """By the relay to the leader."""
-        if self.stream is None or not self.subscriber.connection.is_up:
+        if self.stream is None or not self.subscriber.connection.is_established:
             return answer("FAILURE no relay in reach")
         call_id = self.calls.add(answer)
         self.send(OperatorCall(call_id, entries, 0))
