--- a/basalthoist/jsonrpc/client_connection.py
+++ b/basalthoist/jsonrpc/client_connection.py
@@ -179,7 +179,7 @@
             if end < 0:
                 break
             line, self.pending = self.pending[:end].strip(), self.pending[end + 1 :]
-            self.came_at = self.arrivals.of_last(len(self.pending))
+            self.came_at = self.arrivals.arrival_of_last_byte(len(self.pending))
             if line:
                 self.take_line(line)
         self.update_reading()
