--- a/basalthoist/jsonrpc/front_end.py
+++ b/basalthoist/jsonrpc/front_end.py
@@ -64,7 +64,7 @@
         sock = listening_socket(address, self.limits.backlog)
         gives_back = self.descriptors.release
         self.listener = Listener(self.loop, self.timers, self.log, sock, self.open, gives_back)
-        self.listener.on_taken = self.check_drained
+        self.listener.on_connection_set_up = self.check_drained
         self.log(f"listening for JSON-RPC on {address[0]}:{address[1]}")
 
     def open(self) -> asyncio.Protocol:
--- a/basalthoist/net/clients/front_end.py
+++ b/basalthoist/net/clients/front_end.py
@@ -209,7 +209,7 @@
         self.listener = Listener(
             self.loop, self.timers, self.log, sock, self.admit, self.connection_dropped, self.is_full
         )
-        self.listener.on_taken = self.check_drained
+        self.listener.on_connection_set_up = self.check_drained
         return self.listener
 
     def is_full(self) -> bool:
