--- a/basalthoist/experiments/soak/broken.py
+++ b/basalthoist/experiments/soak/broken.py
@@ -143,8 +143,8 @@
     """Given up 0.8 s after the client's time."""
     from basalthoist.net.dispatcher import RequestDispatcher
 
-    before_end = RequestDispatcher.before_end
-    replace(RequestDispatcher, "before_end", lambda self, deadline: before_end(self, deadline) + 8000)
+    cap_deadline = RequestDispatcher.cap_deadline
+    replace(RequestDispatcher, "cap_deadline", lambda self, deadline: cap_deadline(self, deadline) + 8000)
 
 
 def sends_twice_at_once() -> None:
--- a/basalthoist/jsonrpc/front_end.py
+++ b/basalthoist/jsonrpc/front_end.py
@@ -81,7 +81,7 @@
         number, params = self.dispatcher.next_number(), bytes(call.params)
         came_at = caller.connection.came_at
         # Guards against a call that waited behind others here: its client has waited for it since it came.
-        deadline = self.dispatcher.before_end(came_at + timeout)
+        deadline = self.dispatcher.cap_deadline(came_at + timeout)
         request = JsonProxiedRequest(number, caller, call.method, params, deadline)
         request.came_at = came_at
         caller.request = request
