--- a/basalthoist/jsonrpc/client_connection.py
+++ b/basalthoist/jsonrpc/client_connection.py
@@ -287,7 +287,7 @@
             self.transport.resume_reading()
             self.transport.write_eof()
 
-    def end_now(self, last: bool) -> None:
+    def close_for_shutdown(self, last: bool) -> None:
         """Answers every call, as the process ends. `last`: the client had time to close."""
         for caller in list(self.callers):
             if caller.request is not None:
