--- a/basalthoist/net/control/fleet.py
+++ b/basalthoist/net/control/fleet.py
@@ -13,7 +13,7 @@
 from basalthoist.fleet.outlier_reports import claimed_outliers
 from basalthoist.fleet.quota_leases import Bucket, Limit, QuotaLeaseHolder
 from basalthoist.fleet.replica import Replica
-from basalthoist.fleet.verdicts import BAN, CUSTOMER, OUTLIER, QUOTA, Verdict, VerdictKind, VerdictSet
+from basalthoist.fleet.verdicts import BAN, OUTLIER, QUOTA, TENANT_BAN, Verdict, VerdictKind, VerdictSet
 from basalthoist.fleet.wire import Ack, MemberState, Message, Ping
 from basalthoist.net.control.bans import Bans, VerdictSource
 from basalthoist.net.control.hint_file import RunOnDisk
@@ -161,7 +161,7 @@
         present = verdicts.verdicts.values()
         banned = (verdict.subject for verdict in present if verdict.kind in (BAN, OUTLIER))
         self.bans.set_by_source(VerdictSource.FLEET, banned)
-        self.shut_out({verdict.subject for verdict in present if verdict.kind == CUSTOMER})
+        self.shut_out({verdict.subject for verdict in present if verdict.kind == TENANT_BAN})
         self.set_quotas({verdict.subject: verdict.figure for verdict in present if verdict.kind == QUOTA})
         self.log(f"fleet: acts on version {verdicts.version}, {len(present)} verdicts")
 
