--- a/basalthoist/decisions/backend.py
+++ b/basalthoist/decisions/backend.py
@@ -44,7 +44,7 @@
         "outlier",
         "last_response_at",
         "service_time_sum",
-        "service_slots",
+        "service_time_count",
         "kind_pace",
         "reported_in_flight",
         "reported_at",
@@ -86,7 +86,7 @@
         self.outlier: OutlierTest = OutlierTest()
         self.last_response_at: int = now
         self.service_time_sum: float = 0.0  # fading sums: times of responses, and requests that they were for
-        self.service_slots: float = 0.0
+        self.service_time_count: float = 0.0
         self.kind_pace: float = 1.0  # service time of its kind, as a multiple of the subset's
         self.reported_in_flight: float = 0.0
         self.reported_at: int = -SECOND
--- a/basalthoist/decisions/load_reports.py
+++ b/basalthoist/decisions/load_reports.py
@@ -42,7 +42,7 @@
     def expected(self, backend: "Backend", now: int) -> float:
         """The response time of a request sent there now; longer where the oldest attempt met silence."""
         service_time = (backend.service_time_sum + PRIOR_SAMPLES * self.service_time * backend.kind_pace) / (
-            backend.service_slots + PRIOR_SAMPLES
+            backend.service_time_count + PRIOR_SAMPLES
         )
         time = service_time * (self.ahead(backend, now) + 1.0)
         if backend.open_attempts and backend.last_response_at < backend.open_attempts[0].sent_at:
@@ -57,7 +57,7 @@
     def add_response(self, backend: "Backend", elapsed: int, ahead: float) -> None:
         """A response after `elapsed`, to a request that found `ahead` others there."""
         backend.service_time_sum = backend.service_time_sum * SUM_FADE + elapsed
-        backend.service_slots = backend.service_slots * SUM_FADE + ahead + 1.0
+        backend.service_time_count = backend.service_time_count * SUM_FADE + ahead + 1.0
 
     def add_rejection(self, backend: "Backend", now: int, elapsed: int, timeout: int) -> None:
         """A rejection: one that is full rests for a service time, and its profile shows that it was."""
@@ -72,7 +72,7 @@
         backend.service_time_sum = backend.service_time_sum * SUM_FADE + (
             self.route_bounds.objective if full else elapsed
         )
-        backend.service_slots = backend.service_slots * SUM_FADE + 1.0
+        backend.service_time_count = backend.service_time_count * SUM_FADE + 1.0
 
     def add_health_check(self, backend: "Backend", now: int, elapsed: int, in_flight: float) -> None:
         """The reported requests in flight that a health check brought after `elapsed`."""
@@ -86,20 +86,20 @@
         # Guards against hundreds of nodes that each forget a slow backend in seconds and try it in turn.
         fade = min(0.97 ** (demand / max(len(backends), 1)), 0.85 if self.hears else 0.95)
         for backend in backends:
-            backend.service_time_sum, backend.service_slots = (
+            backend.service_time_sum, backend.service_time_count = (
                 fade * backend.service_time_sum,
-                fade * backend.service_slots,
+                fade * backend.service_time_count,
             )
 
     def update_means(self, ready: "list[Backend]") -> None:
         """The mean service time of the subset, and each kind's as a multiple of it."""
         times = sum(b.service_time_sum for b in ready) + self.route_bounds.objective / 4
-        self.service_time = times / (sum(b.service_slots for b in ready) + 1)
+        self.service_time = times / (sum(b.service_time_count for b in ready) + 1)
         for kind in {backend.kind for backend in ready}:
             alike = [backend for backend in ready if backend.kind == kind]
             # Guards against chance in a few samples of one backend that passes for speed.
             pace = (sum(b.service_time_sum for b in alike) / self.service_time + PRIOR_SAMPLES) / (
-                sum(b.service_slots for b in alike) + PRIOR_SAMPLES
+                sum(b.service_time_count for b in alike) + PRIOR_SAMPLES
             )
             for backend in alike:
                 backend.kind_pace = pace
--- a/basalthoist/decisions/rotation.py
+++ b/basalthoist/decisions/rotation.py
@@ -94,7 +94,7 @@
             if not hears:
                 near = max(equal_time - cost, near)
             # Guards against shedding while some are heard of as idle: slow first answers would be the last.
-            untested = lull or health_checks and backend.service_slots < 1.5
+            untested = lull or health_checks and backend.service_time_count < 1.5
             fits = untested and self.loads.ahead(backend, now) < 0.1 or not gossips and time <= bound
             if fits and time + cost * hears <= near:
                 return backend
--- a/basalthoist/decisions/slow_start.py
+++ b/basalthoist/decisions/slow_start.py
@@ -67,7 +67,7 @@
         """Whether it has answered lately, without fault or rejection, and holds nothing."""
         # Guards against one more from each of many nodes: it can have answered only so many within that time.
         fresh = now - backend.last_response_at < self.settings.overload_window
-        calm = self.settings.health_checks and fresh and backend.service_slots
+        calm = self.settings.health_checks and fresh and backend.service_time_count
         calm = calm and not backend.rejections and not backend.outlier.suspicion
         return bool(calm) and self.loads.ahead(backend, now) < IDLE_BELOW
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -217,7 +217,7 @@
     made, _ = node([listed("a", kind=0), listed("b", kind=1), listed("c", kind=1)])
     for name, time in (("a", 500.0), ("b", 1500.0)):
         backend = made.backends[name]
-        backend.service_time_sum, backend.service_slots, backend.profile.points = (
+        backend.service_time_sum, backend.service_time_count, backend.profile.points = (
             50 * time,
             50.0,
             [Point(5.0, time, 50.0, NOW)],
@@ -272,7 +272,7 @@
     a, b = made.backends["a"], made.backends["b"]
     for backend, time in ((a, 3000.0), (b, 1000.0)):
         backend.profile.reported_rate, backend.profile.line = 25.0, [(0.0, 1000.0), (25.0, 1000.0)]
-        backend.service_time_sum, backend.service_slots = 100 * time, 100.0
+        backend.service_time_sum, backend.service_time_count = 100 * time, 100.0
     a.target_rate, a.credit = 5.0, 5.0  # it is its turn
     made.on_request(NOW, 1, 0, 0, 8000, False)
     assert [call[2] for call in host.take("send")] == ["b"]
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -245,7 +245,7 @@
 def test_an_idle_backend_is_taken_though_the_time_held_is_over_the_bound():
     made, host = talking("a", "b")
     for backend in made.backends.values():
-        backend.service_time_sum, backend.service_slots = 40 * 2200.0, 40.0
+        backend.service_time_sum, backend.service_time_count = 40 * 2200.0, 40.0
     made.loads.service_time = 2200.0
     made.on_request(NOW, 1, 0, 0, 8000, False)
     assert host.take("send")
