--- a/basalthoist/decisions/schedule.py
+++ b/basalthoist/decisions/schedule.py
@@ -16,7 +16,7 @@
         self.host = host
         self.entries: list[tuple[int, int, Callable, object]] = []
         self.numbers = count()
-        self.woken_for: int = 0  # 0: no wake is asked for
+        self.requested_wake_at: int = 0  # 0: no wake is asked for
 
     def at(self, when: int, act: Callable, subject: object) -> None:
         """`act(now, subject)` is called at `when`, once a wake has been asked for by `arm`."""
@@ -24,7 +24,7 @@
 
     def run_due(self, now: int) -> None:
         """Calls what is due; afterwards a wake for the rest has been asked for."""
-        self.woken_for = self.woken_for if now < self.woken_for else 0
+        self.requested_wake_at = self.requested_wake_at if now < self.requested_wake_at else 0
         while self.entries and self.entries[0][0] <= now:
             _, _, act, subject = heappop(self.entries)
             act(now, subject)
@@ -32,6 +32,6 @@
 
     def arm(self, now: int) -> None:
         """Asks for a wake where the next action is due before the one asked for."""
-        if self.entries and (not self.woken_for or self.entries[0][0] < self.woken_for):
-            self.woken_for = max(self.entries[0][0], now + 1)
-            self.host.wake(self.woken_for - now, DUE)
+        if self.entries and (not self.requested_wake_at or self.entries[0][0] < self.requested_wake_at):
+            self.requested_wake_at = max(self.entries[0][0], now + 1)
+            self.host.wake(self.requested_wake_at - now, DUE)
--- a/basalthoist/shadow.py
+++ b/basalthoist/shadow.py
@@ -124,8 +124,8 @@
 
     def on_event(self, event: str, now: int, *arguments: Any) -> None:  # noqa: ANN401 - as the event has them
         """Repeats an event that the real balancer has taken, and counts the differences."""
-        woken_for = self.balancer.schedule.woken_for
-        if woken_for and woken_for < now - LATE_WAKE:
+        requested_wake_at = self.balancer.schedule.requested_wake_at
+        if requested_wake_at and requested_wake_at < now - LATE_WAKE:
             self.balancer.on_wake(now, "due")
         getattr(self.balancer, event)(now, *arguments)
         is_about_request = event in ("on_request", "on_attempt_ended", "on_client_gone")
