--- a/basalthoist/decisions/balancer.py
+++ b/basalthoist/decisions/balancer.py
@@ -412,7 +412,7 @@
             return
         if not request.surplus:
             self.surplus.add_miss()  # surplus goes before what is in quota
-        retry_after = self.retry.harmless_after(request, now)
+        retry_after = self.retry.safe_retry_after(request, now)
         if retry_after is not None:
             self.shed_log.add(request.surplus)
             self.host.shed(request.id, retry_after)
--- a/basalthoist/decisions/retry.py
+++ b/basalthoist/decisions/retry.py
@@ -60,7 +60,7 @@
         window = request.route.dedup_window if request.route.is_deduplicated else 0
         return ran[0].sent_at + window - HOLD_UP - now
 
-    def harmless_after(self, request: Request, now: int) -> int | None:
+    def safe_retry_after(self, request: Request, now: int) -> int | None:
         """After how long its client may be told to try again, 0: no advice; None where that could do harm."""
         ran = request.may_have_run()
         if request.route.is_idempotent or not ran:
--- a/basalthoist/experiments/soak/broken.py
+++ b/basalthoist/experiments/soak/broken.py
@@ -71,7 +71,7 @@
     """Whatever is given up is called harmless to try again."""
     from basalthoist.decisions.retry import RetryPolicy
 
-    replace(RetryPolicy, "harmless_after", lambda self, request, now: 0)
+    replace(RetryPolicy, "safe_retry_after", lambda self, request, now: 0)
 
 
 def forgets_drains() -> None:
