--- a/basalthoist/decisions/retry.py
+++ b/basalthoist/decisions/retry.py
@@ -37,7 +37,7 @@
         ran = [a for a in request.attempts[:attempts_before] if a.outcome not in NEVER_RAN]
         if not ran or request.route.is_idempotent:
             return True
-        return self.remembered_for(request, ran, now) > 0 and self.in_scope(request, ran[0].backend, backend)
+        return self.dedup_time_left(request, ran, now) > 0 and self.in_scope(request, ran[0].backend, backend)
 
     @staticmethod
     def in_scope(request: Request, first: Backend, backend: Backend) -> bool:
@@ -52,7 +52,7 @@
         return False
 
     @staticmethod
-    def remembered_for(request: Request, ran: list[Attempt], now: int) -> int:
+    def dedup_time_left(request: Request, ran: list[Attempt], now: int) -> int:
         """For how long what is written from now on is known as a repeat of `ran`, which may have run.
 
         Guards against a node that is held up before it writes: the repeat would arrive after the window.
@@ -65,7 +65,7 @@
         ran = request.may_have_run()
         if request.route.is_idempotent or not ran:
             return self.retry_after
-        remembered = self.remembered_for(request, ran, now) if request.route.dedup_scope == "all" else 0
+        remembered = self.dedup_time_left(request, ran, now) if request.route.dedup_scope == "all" else 0
         if remembered > 0:
             # Guards against a client that is told to come back when its request is no longer known.
             return min(self.retry_after, remembered)
--- a/basalthoist/experiments/soak/broken.py
+++ b/basalthoist/experiments/soak/broken.py
@@ -64,7 +64,9 @@
     """A deduplicated request is sent again until its time is over, whatever the window."""
     from basalthoist.decisions.retry import RetryPolicy
 
-    replace(RetryPolicy, "remembered_for", lambda self, request, ran, now: int(request.route.is_deduplicated))
+    replace(
+        RetryPolicy, "dedup_time_left", lambda self, request, ran, now: int(request.route.is_deduplicated)
+    )
 
 
 def refuses_what_ran() -> None:
