--- a/basalthoist/emulator/distributed.py
+++ b/basalthoist/emulator/distributed.py
@@ -104,7 +104,7 @@
             return
         if message is None:
             self.closed[to] = True
-            end.on_lost(self, to)
+            end.on_disconnected(self, to)
         else:
             end.on_message(self, to, message.message if type(message) is EncodedMessage else message)
 
@@ -204,7 +204,7 @@
             return  # where it is cut, nobody answers, and nothing says so
         if not machine.alive or machine.incarnation != connection.incarnations[ACCEPTOR]:
             connection.closed[OPENER] = True
-            return owner.on_lost(connection, OPENER)
+            return owner.on_disconnected(connection, OPENER)
         if owner.frozen:
             return world.later(TICK, (self.opened, connection))
         world.connections.append(connection)
@@ -311,12 +311,12 @@
         else:
             connection.role.on_message(now, connection.number, message)
 
-    def on_lost(self, connection: SimulatedConnection, to: int) -> None:
+    def on_disconnected(self, connection: SimulatedConnection, to: int) -> None:
         """The other end has closed it."""
         if to == OPENER:
             if connection is self.leader_link.connection:
                 self.leader_link.connection = None
-                self.leader_session.on_lost(self.now())
+                self.leader_session.on_disconnected(self.now())
         elif connection.role is not None:
             connection.role.on_session_ended(self.now(), connection.number)
             self.sessions.pop(connection.number, None)
@@ -352,9 +352,9 @@
         """As the leader allows."""
         return self.leader_session.max_sessions
 
-    def on_all_current(self, now: int) -> None:
+    def on_all_nodes_current(self, now: int) -> None:
         """The leader hears of it at once."""
-        if self.leader_session.connection.is_up:
+        if self.leader_session.connection.is_established:
             self.leader_session.send_heartbeat(now)
 
     def on_commit(self, entries: list[Entry]) -> None:
@@ -416,11 +416,11 @@
             self.subscriber.on_message(self.now(), message)
             self.world.verify_node(self)
 
-    def on_lost(self, connection: SimulatedConnection, to: int) -> None:
+    def on_disconnected(self, connection: SimulatedConnection, to: int) -> None:
         """Its relay has closed it."""
         if connection is self.connection:
             self.connection = None
-            self.subscriber.on_lost(self.now())
+            self.subscriber.on_disconnected(self.now())
 
     def apply_entries(self, entries: list[Entry], version: int) -> None:
         """As host of the subscriber."""
@@ -704,7 +704,11 @@
     def verify_settled(self) -> None:
         """All is well: there is a leader, and every node is in touch and at the latest version."""
         latest, leader = max(self.truth), self.author()
-        able = [node.subscriber for node in self.nodes.values() if node.subscriber.may_act(node.now())]
+        able = [
+            node.subscriber
+            for node in self.nodes.values()
+            if node.subscriber.may_forward_requests(node.now())
+        ]
         versions = {subscriber.version for subscriber in able}
         if not leader or versions != {latest} or len(able) < len(self.nodes):
             found = f"author {leader!r}, {len(able)} nodes, {sorted(versions)} of {latest}"
@@ -725,7 +729,11 @@
     def verify_node(self, node: Node) -> None:
         """Not older than what is in force, nor than its bound of staleness, nor another content."""
         subscriber = node.subscriber
-        if not node.alive or not self.distribution_bounds.strict or not subscriber.may_act(node.now()):
+        if (
+            not node.alive
+            or not self.distribution_bounds.strict
+            or not subscriber.may_forward_requests(node.now())
+        ):
             return
         version = subscriber.version
         if version < self.in_force:
