--- a/basalthoist/decisions/__init__.py
+++ b/basalthoist/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""What to do with each request; how it is carried out is the host's affair."""
+"""Load-balancing decisions for each request, without I/O; the host carries them out."""
--- a/basalthoist/decisions/endpoint_index.py
+++ b/basalthoist/decisions/endpoint_index.py
@@ -1,6 +1,6 @@
-"""The backends that something new may go to, kept in order as the list changes, one entry at a time.
+"""Sorted indexes of the backends, updated one entry at a time as the endpoint list changes.
 
-A change costs hardly more in a long list than in a short one.
+The cost of a change hardly grows with the length of the list.
 """
 
 from bisect import bisect_left, insort
@@ -9,12 +9,12 @@
 
 
 def order_of(backend: Backend) -> tuple[float, str]:
-    """By position, and by name where two share one."""
+    """Returns the sort key: the position, then the name where two backends share a position."""
     return backend.position, backend.name
 
 
 class EndpointIndex:
-    """Available backends by zone, in the order of their positions."""
+    """The available backends by zone, sorted by position."""
 
     def __init__(self) -> None:
         self.by_zone: dict[int, list[Backend]] = {}
@@ -24,25 +24,25 @@
         return self.count
 
     def groups(self) -> list[list[Backend]]:
-        """One list for each zone that has any, in the order of the zones."""
+        """Returns the backends of each zone that has available ones, in the order of the zones."""
         return [self.by_zone[zone] for zone in sorted(self.by_zone)]
 
     def update(self, backend: Backend) -> None:
-        """To be called after what is listed of it has changed. Its position and name never do."""
-        if backend.available and backend.available_in == backend.zone:
+        """Updates the index after a change of the backend's entry. Its position and name must not change."""
+        if backend.available and backend.indexed_zone == backend.zone:
             return
         self.discard(backend)
         if backend.available:
-            backend.available_in = backend.zone
+            backend.indexed_zone = backend.zone
             self.count += 1
             insort(self.by_zone.setdefault(backend.zone, []), backend, key=order_of)
 
     def discard(self, backend: Backend) -> None:
-        """Takes a backend out, if it is in."""
-        zone = backend.available_in
+        """Removes a backend, if it is in the index."""
+        zone = backend.indexed_zone
         if zone is None:
             return
-        backend.available_in = None
+        backend.indexed_zone = None
         self.count -= 1
         group = self.by_zone[zone]
         del group[bisect_left(group, order_of(backend), key=order_of)]
@@ -51,25 +51,25 @@
 
 
 class BackendsByKey:
-    """All listed backends by the keys that peers use; of those that share one, the last added counts."""
+    """All listed backends by gossip key. Of those that share a key, the one added last is found."""
 
     def __init__(self) -> None:
         self.last: dict[int, Backend] = {}
-        self.others: dict[int, list[Backend]] = {}  # added before the last one, where several share a key
+        self.others: dict[int, list[Backend]] = {}  # by shared key: the backends added before the last
 
     def get(self, key: int) -> Backend | None:
-        """The backend of that key, None where there is none."""
+        """Returns the backend of this key, or None."""
         return self.last.get(key)
 
     def add(self, backend: Backend) -> None:
-        """Of those that share a key, this one counts from now on."""
+        """Adds a backend, which hides the others with its key."""
         before = self.last.get(backend.key)
         if before is not None:
             self.others.setdefault(backend.key, []).append(before)
         self.last[backend.key] = backend
 
     def discard(self, backend: Backend) -> None:
-        """Takes a backend out that is in."""
+        """Removes a backend, which must be in the index."""
         others = self.others.get(backend.key, [])
         if self.last[backend.key] is not backend:
             others.remove(backend)
--- a/basalthoist/decisions/interface.py
+++ b/basalthoist/decisions/interface.py
@@ -1,4 +1,4 @@
-"""Events' and commands' types between the decisions and whoever runs them. Times: tenths of a millisecond."""
+"""Types of the events and commands between the decisions and their host. Times: tenths of a millisecond."""
 
 from enum import IntEnum
 from typing import NamedTuple, Protocol
@@ -8,8 +8,8 @@
     """How an attempt or a health check ended."""
 
     COMPLETED = 0
-    ERROR = 1  # the backend answered with an error; it may have run
-    REJECTED = 2  # unread, for want of capacity
+    ERROR = 1  # the backend answered with an error; the request may have run
+    REJECTED = 2  # the backend refused the request unread, for lack of capacity
     TIMED_OUT = 3
     CONNECT_FAILED = 4
     RESET = 5
@@ -21,7 +21,7 @@
 
 
 class Endpoint(NamedTuple):
-    """One backend as the list of backends shows it."""
+    """One entry of the endpoint list."""
 
     name: str
     zone: int
@@ -29,29 +29,29 @@
     cell: int
     state: str  # healthy, draining or gone
     weight: float
-    started: int | None  # clock time of its last start, None when long ago
+    started: int | None  # when it last started, on the monotonic clock; None if that was long ago
 
 
 class LoadReport(NamedTuple):
-    """What a backend reports of itself; None where it reports no such figure."""
+    """The load that a backend reports; None for each figure that it does not report."""
 
     in_flight: float | None
     queue: float | None
     utilization: float | None
-    rate: float | None = None  # all that it answers a second, whoever asks
+    rate: float | None = None  # responses per second to all nodes
 
 
 class GossipKind(IntEnum):
-    """What nodes tell one another, each about one backend."""
+    """The kinds of gossip messages; each message is about one backend."""
 
-    SENT = 0  # a request has just been sent to it
-    EJECTED = 2  # it failed here until nothing more is sent to it
-    IN_FLIGHT = 1  # by its last report it now holds so many quarters of a request
-    ANSWERED = 3  # one sent to it, and announced, has been answered
+    SENT = 0  # the sender has just sent the backend a request
+    EJECTED = 2  # the sender has ejected the backend as an outlier
+    IN_FLIGHT = 1  # the backend's estimated requests in flight, in quarters, after its last report
+    ANSWERED = 3  # the backend has answered a request that was announced as SENT
 
 
 class GossipMessage(NamedTuple):
-    """One message about one backend; `quarters` counts for IN_FLIGHT alone."""
+    """One message about one backend; `quarters` is used by IN_FLIGHT only."""
 
     kind: GossipKind
     backend_key: int
@@ -59,45 +59,48 @@
 
 
 class BalancerHost(Protocol):
-    """What a `Balancer` asks of whoever runs it. Request ids are those that it was handed; times are tenths
-    of a millisecond; attempts are numbered from 0 in the order of their sends."""
+    """Carries out the commands of a `Balancer`.
+
+    Request ids are those passed to `Balancer.on_request`, times are tenths of a millisecond, and attempts are
+    numbered from 0 in the order in which they were sent.
+    """
 
     def send(self, request: int, backend: str, timeout: int) -> None:
-        """Makes the next attempt of the request at this backend."""
+        """Sends the next attempt of the request to this backend."""
         ...
 
     def shed(self, request: int, retry_after: int) -> None:
-        """Answers that trying again is harmless, after `retry_after`; 0: no time is named."""
+        """Answers that a retry is safe after `retry_after`; 0: the answer names no time."""
         ...
 
     def fail(self, request: int) -> None:
-        """Answers that it failed and may have run."""
+        """Answers that the request failed and may have run."""
         ...
 
     def cancel(self, request: int, attempt_number: int) -> None:
-        """Gives an open attempt up; its outcome follows."""
+        """Cancels an open attempt; its outcome follows."""
         ...
 
     def withdraw(self, request: int, attempt_number: int) -> bool:
-        """Whether none of the attempt is written, and so never will be."""
+        """Withdraws an attempt of which nothing is written yet. Returns whether it was withdrawn."""
         ...
 
     def health_check(self, backend: str) -> None:
-        """Asks a backend for its load; `Balancer.on_health_check_ended` follows."""
+        """Sends a health check; `Balancer.on_health_check_ended` follows."""
         ...
 
     def gossip(self, messages: list[GossipMessage], peers: list[int]) -> None:
-        """Sends messages to other nodes; they may be lost."""
+        """Sends messages to other nodes, without a guarantee of delivery."""
         ...
 
     def subscribe(self) -> None:
-        """Asks discovery for the endpoint list."""
+        """Requests the endpoint list from discovery."""
         ...
 
     def wake(self, after: int, tag: str) -> None:
-        """Has `Balancer.on_wake` called with the tag."""
+        """Calls `Balancer.on_wake` with the tag after the given time."""
         ...
 
     def log(self, line: str) -> None:
-        """Writes a line to the node's log."""
+        """Writes a line to the log of the node."""
         ...
--- a/basalthoist/decisions/request.py
+++ b/basalthoist/decisions/request.py
@@ -1,4 +1,4 @@
-"""A request that the decisions have taken, and its attempts."""
+"""The state of a request and of its attempts."""
 
 from .backend import Backend
 from .interface import NEVER_RAN, Outcome
@@ -6,7 +6,7 @@
 
 
 class Request:
-    """A request that a client waits for. `deadline` and `objective_at` are times of the decisions' clock."""
+    """A client's request. `deadline` and `objective_at` are points in time, on the monotonic clock."""
 
     __slots__ = (
         "id",
@@ -39,28 +39,28 @@
         self.route: Route = route
         self.deadline: int = deadline
         self.objective_at: int = objective_at  # until when an answer is within the latency objective
-        self.spilled: bool = spilled  # from another site: gives way to own requests
+        self.spilled: bool = spilled  # from another site; comes after the site's own requests
         self.surplus: bool = surplus or spilled  # beyond its tenant's quota
         self.queued: bool = False
         self.finished: bool = False
-        self.streaming: bool = False  # its response has begun
-        self.body_consumed: bool = False  # by an attempt, so that no other can be made
-        self.checks_settled: bool = False  # nothing more is waited for from health checks
+        self.streaming: bool = False  # its response has started
+        self.body_consumed: bool = False  # by an attempt, so no other attempt is possible
+        self.checks_settled: bool = False  # the request no longer waits for health checks
         self.check_rounds: int = 0
         self.attempts: list[Attempt] = []
-        self.order: tuple = (self.surplus, -route.value, now, ident)  # in the queue
+        self.order: tuple = (self.surplus, -route.value, now, ident)  # sort key in the queue
 
-    def may_have_run(self) -> "list[Attempt]":
-        """The attempts without an outcome that shows that they never ran."""
+    def possibly_executed(self) -> "list[Attempt]":
+        """Returns the attempts that may have run: all but those whose outcome rules it out."""
         return [attempt for attempt in self.attempts if attempt.outcome not in NEVER_RAN]
 
     def has_open_attempt(self) -> bool:
-        """Whether the outcome of an attempt is still to come."""
+        """Returns whether an attempt has no outcome yet."""
         return any(attempt.outcome is None for attempt in self.attempts)
 
 
 class Attempt:
-    """One attempt at one backend; `outcome` is None while it is open."""
+    """One attempt at one backend; `outcome` is None while the attempt is open."""
 
     __slots__ = (
         "request",
@@ -76,7 +76,7 @@
         self.request: Request = request
         self.backend: Backend = backend
         self.sent_at: int = now
-        self.ahead: float = ahead  # requests that the backend was taken to hold when this one was sent
+        self.ahead: float = ahead  # estimated requests at the backend when this attempt was sent
         self.outcome: Outcome | None = None
-        self.announced: bool = False  # to peers
-        self.overtaken: int = 0  # how often others sent later were answered first
+        self.announced: bool = False  # whether the attempt was announced to peers
+        self.overtaken: int = 0  # how often later attempts were answered first
--- a/basalthoist/decisions/rotation.py
+++ b/basalthoist/decisions/rotation.py
@@ -1,4 +1,4 @@
-"""Which backend a request goes to: smooth weighted rotation over those that are fit for it just now."""
+"""Selects the backend of an attempt: smooth weighted rotation over the backends that are currently fit."""
 
 from math import inf
 
@@ -13,17 +13,21 @@
 from .subset import Subset
 from .units import SECOND
 
-REPORT_LIFETIME = 20  # a report older than 2 ms is asked for anew
-MOST_STRAIN = 4.0  # idle times at which a backend is passed over
-MOST_STRAIN_REPORTED = 2.5  # where it reports its whole rate
-NEAR_SERVICE_TIMES = 1.5  # a response expected within so many service times is near enough
-SURPLUS_BOUND, LEAST_BOUND, VALUE_BOUND = 0.35, 0.5, 0.25  # parts of the time left that may be expected
-GOSSIP_BOUND = 0.2  # more, where peers are heard of
-LATE_BOUND = 0.3  # of the latency objective, once that is over
+REPORT_LIFETIME = 20  # a load report older than 2 ms is stale
+MAX_IDLE_TIME_RATIO = 4.0  # a backend is skipped above this ratio of expected time to idle time
+MAX_IDLE_TIME_RATIO_REPORTED = 2.5  # the same for a backend that reports its rate over all nodes
+NEAR_SERVICE_TIMES = 1.5  # a response expected within so many service times is fast enough
+# The longest acceptable expected time, as fractions of the time left of the latency objective.
+SURPLUS_TIME_FRACTION, MIN_TIME_FRACTION, VALUE_TIME_FRACTION = 0.35, 0.5, 0.25
+GOSSIP_TIME_FRACTION = 0.2  # added where the node gossips
+LATE_TIME_FRACTION = 0.3  # fraction of the latency objective, once that is over
 
 
 class Rotation:
-    """Every backend's credit grows by its target rate with each pick; whoever is picked pays the sum."""
+    """Smooth weighted rotation.
+
+    With each pick, every fit backend's credit grows by its target rate, and the picked one pays the sum.
+    """
 
     def __init__(
         self,
@@ -46,7 +50,7 @@
         self.gossip = gossip
 
     def candidates(self, now: int, request: Request) -> list[Backend]:
-        """Those that it may go to, whose turn is next first."""
+        """Returns the backends that may get an attempt of the request, the next in the rotation first."""
         fit = [b for b in self.subset.ready(now) if not (b.outlier.is_suspect() and b.open_attempts)]
         fit = [b for b in fit if now >= b.saturated_until]
         fit = [b for b in fit if not b.is_warming(now) or self.slow_start.allows(b, now)]
@@ -59,69 +63,78 @@
         return sorted(fit, key=lambda b: -(b.credit + b.target_rate))
 
     def pick(self, now: int, request: Request) -> Backend | None:
-        """The backend for one attempt, or None where it is better to wait."""
+        """Returns the backend for an attempt, or None if it is better to wait."""
         fit = self.candidates(now, request)
-        best = self.best_of(fit, now, request)
+        best = self.best_candidate(fit, now, request)
         if best is not None:
             for backend in fit:
                 backend.credit += backend.target_rate
                 best.credit -= backend.target_rate
         return best
 
-    def best_of(self, fit: list[Backend], now: int, request: Request) -> Backend | None:
-        """The first that answers near enough, or else the one that answers first within the bound."""
-        hears, health_checks = self.loads.hears, self.settings.health_checks
+    def best_candidate(self, fit: list[Backend], now: int, request: Request) -> Backend | None:
+        """Returns the first backend that is fast enough, or else the fastest one within the time bound."""
+        gets_load_updates, health_checks = self.loads.gets_load_updates, self.settings.health_checks
         gossips = self.gossip.probability > 0.0
         objective = self.route_bounds.objective
         service_time, equal_time = self.loads.service_time, self.solver.equal_time
         checking = not request.checks_settled if health_checks else False
         bound = self.time_bound(now, request, gossips)
-        most_open = max(2.0, 2.0 * sum(len(b.open_attempts) for b in fit) / len(fit)) if fit else 0.0
-        oldest_report = self.oldest_report(now, checking)
-        lull = gossips or (health_checks and fit and now - max(b.last_response_at for b in fit) > objective)
+        max_open = max(2.0, 2.0 * sum(len(b.open_attempts) for b in fit) / len(fit)) if fit else 0.0
+        max_report_age = self.max_report_age(now, checking)
+        no_recent_response = gossips or (
+            health_checks and fit and now - max(b.last_response_at for b in fit) > objective
+        )
         best, best_time = None, inf
         for backend in fit:
-            stale = now - backend.reported_at > oldest_report
-            if len(backend.open_attempts) > most_open:
+            stale = now - backend.reported_at > max_report_age
+            if len(backend.open_attempts) > max_open:
                 continue
             if stale and backend.zone < self.settings.first_remote_zone:
                 continue
-            time, cost = self.loads.expected(backend, now), backend.zone_cost
+            time, cost = self.loads.expected_time(backend, now), backend.zone_cost
             loaded = backend.open_attempts or backend.profile.reported_rate
-            if not hears and loaded and time > self.strain_bound(backend, objective):
+            if not gets_load_updates and loaded and time > self.overload_bound(backend, objective):
                 continue
-            near = NEAR_SERVICE_TIMES * service_time
-            if not hears:
-                near = max(equal_time - cost, near)
-            # Guards against shedding while some are heard of as idle: slow first answers would be the last.
-            untested = lull or health_checks and backend.service_time_count < 1.5
-            fits = untested and self.loads.ahead(backend, now) < 0.1 or not gossips and time <= bound
-            if fits and time + cost * hears <= near:
+            near_time = NEAR_SERVICE_TIMES * service_time
+            if not gets_load_updates:
+                near_time = max(equal_time - cost, near_time)
+            # Guards against shedding while some backends are idle: one whose first responses were slow would
+            # get no further request.
+            untested = no_recent_response or health_checks and backend.service_time_count < 1.5
+            is_acceptable = untested and self.loads.ahead(backend, now) < 0.1 or not gossips and time <= bound
+            if is_acceptable and time + cost * gets_load_updates <= near_time:
                 return backend
             if not checking and time <= bound and time + cost < best_time:
                 best, best_time = backend, time + cost
         return best
 
     def time_bound(self, now: int, request: Request, gossips: bool) -> float:
-        """The longest response time that may be expected; more for routes of a high priority weight."""
-        left = request.objective_at - now
-        if left <= 0:
-            return LATE_BOUND * request.route.objective
-        part = SURPLUS_BOUND
+        """Returns the longest acceptable expected response time; longer for a higher priority weight."""
+        time_left = request.objective_at - now
+        if time_left <= 0:
+            return LATE_TIME_FRACTION * request.route.objective
+        fraction = SURPLUS_TIME_FRACTION
         if not request.surplus:
-            part = LEAST_BOUND + VALUE_BOUND * request.route.value / self.route_bounds.highest_value
-        return (part + GOSSIP_BOUND * gossips) * left
+            fraction = (
+                MIN_TIME_FRACTION
+                + VALUE_TIME_FRACTION * request.route.value / self.route_bounds.highest_value
+            )
+        return (fraction + GOSSIP_TIME_FRACTION * gossips) * time_left
 
-    def oldest_report(self, now: int, checking: bool) -> float:
-        """The age from which a backend is passed over for its old report; infinite where none is used."""
+    def max_report_age(self, now: int, checking: bool) -> float:
+        """Returns the report age above which a backend is skipped; infinite if reports are not used."""
         if checking:
             return REPORT_LIFETIME
-        if self.settings.health_checks and now - self.loads.heard_at < SECOND:
+        if self.settings.health_checks and now - self.loads.last_health_check_at < SECOND:
             return self.loads.service_time / 2
         return inf
 
     @staticmethod
-    def strain_bound(backend: Backend, objective: int) -> float:
-        """Guards against crowding a backend until it turns slower: a few times its idle time is enough."""
-        most = MOST_STRAIN_REPORTED if backend.profile.reported_rate else MOST_STRAIN
-        return max(most * backend.profile.idle_time, 0.2 * objective)
+    def overload_bound(backend: Backend, objective: int) -> float:
+        """Returns the expected response time above which a backend is skipped, a few times its idle time.
+
+        Guards against loading a backend until it gets slower.
+        """
+        max_ratio = MAX_IDLE_TIME_RATIO_REPORTED if backend.profile.reported_rate else MAX_IDLE_TIME_RATIO
+        return max(max_ratio * backend.profile.idle_time, 0.2 * objective)
--- a/basalthoist/decisions/settings.py
+++ b/basalthoist/decisions/settings.py
@@ -1,4 +1,4 @@
-"""The settings that the decisions act on, typed, read once at the start from the map by `settings_codec`."""
+"""The typed settings of the decisions, read once at the start from the flat map of `settings_codec`."""
 
 from collections.abc import Mapping
 from math import inf
@@ -8,18 +8,18 @@
 
 from .units import SECOND
 
-IDEMPOTENT, DEDUPLICATED = "idempotent", "deduplicated"  # semantics; any other: at most once
+IDEMPOTENT, DEDUPLICATED = "idempotent", "deduplicated"  # any other semantics means at most once
 DEFAULT_TIMEOUT = 10 * SECOND
-DEFAULT_OBJECTIVE_PART = 0.8  # of the overall timeout, where no latency objective is set
-MOST_HEALTH_CHECKS = 4  # in one round; a request has several
-HEALTH_CHECK_BUDGET = 0.01  # what one round of health checks may cost, in the unit of the settings' prices
+DEFAULT_OBJECTIVE_FRACTION = 0.8  # default latency objective, as a fraction of the overall timeout
+MAX_HEALTH_CHECKS = 4  # per round; a request may have several rounds
+HEALTH_CHECK_BUDGET = 0.01  # maximum cost of a round of health checks, in the unit of the settings' prices
 ONE_CORE_US_PER_S = 1e6
 
 
 class Route(msgspec.Struct, eq=False):
-    """One route. `objective`, `timeout` and `dedup_window` are times; `value` is its priority weight."""
+    """One route. `objective`, `timeout` and `dedup_window` are durations; `value` is the priority weight."""
 
-    dedup_scope: str  # "all", "zone" or "cell": the backends that recognise a repeat of one request
+    dedup_scope: str  # "all", "zone" or "cell": which backends recognise a repeat of a request
     semantics: str
     streams: bool
     value: float
@@ -27,11 +27,11 @@
     dedup_window: int
     timeout: int
     objective: int
-    usual_timeout: int = 0  # the longest that a first request of it has come with
+    usual_timeout: int = 0  # the longest timeout of a request so far that was not a retry
 
     @classmethod
     def from_flat(cls, flat: Mapping, number: int) -> "Route":
-        """Reads the keys below `routes.<number>`."""
+        """Reads the route from the keys below `routes.<number>`."""
 
         def read(name: str, default: Any = 0) -> Any:  # noqa: ANN401 - as the settings file has it
             return flat.get(f"routes.{number}.{name}", default)
@@ -45,22 +45,22 @@
             late_value=read("overdue_value", 0.0),
             dedup_window=read("dedup_window", 0),
             timeout=timeout,
-            objective=read("latency_objective", 0) or int(DEFAULT_OBJECTIVE_PART * timeout),
+            objective=read("latency_objective", 0) or int(DEFAULT_OBJECTIVE_FRACTION * timeout),
         )
 
     @property
     def is_idempotent(self) -> bool:
-        """Whether it may be attempted again whatever has run."""
+        """Whether a request may be retried even if an earlier attempt may have run."""
         return self.semantics == IDEMPOTENT
 
     @property
     def is_deduplicated(self) -> bool:
-        """Whether backends recognise a repeat within `dedup_window` of the first attempt."""
+        """Whether backends recognise a repeat of a request within `dedup_window` of its first attempt."""
         return self.semantics == DEDUPLICATED
 
 
 class RouteBounds:
-    """What holds over all routes; `update` follows a change of any."""
+    """Bounds over all routes; `update` has to be called when a route changes."""
 
     __slots__ = ("routes", "highest_value", "objective")
 
@@ -69,19 +69,19 @@
         self.update()
 
     def update(self) -> None:
-        """Reads the routes anew."""
+        """Recomputes the bounds."""
         self.highest_value: float = max(route.value for route in self.routes)
-        self.objective: int = min(route.objective for route in self.routes)  # the shortest
+        self.objective: int = min(route.objective for route in self.routes)  # the shortest latency objective
 
 
 class BalancerSettings(msgspec.Struct, frozen=True):
-    """Everything else that the decisions are configured with."""
+    """All settings of the decisions other than the routes. Durations are in tenths of a millisecond."""
 
     nodes: int
     own_number: int
     zone: int
-    first_remote_zone: float  # zones from this number on are other sites
-    quotas: list[float]  # requests a second over the fleet, by tenant
+    first_remote_zone: float  # zones with this number or a higher one belong to other sites
+    quotas: list[float]  # requests per second over the fleet, by tenant number
     crossing_price: float
     peer_price: float
     surplus_value: float
@@ -90,20 +90,20 @@
     can_health_check: bool
     parallel_attempts: bool
     max_attempts: int
-    health_checks: int  # at the most in one round; 0: backends are not asked for their load
+    health_checks: int  # maximum per round; 0: no health checks for load
     gossips: bool
-    blind: bool  # gossips, and backends report nothing of their load
+    without_load_reports: bool  # the node gossips, and backends report no requests in flight
     cpu_us_per_s: float
     tick: int
-    overload_window: int  # how long a warming backend's rate is looked at
+    overload_window: int  # window over which a warming backend's rate is limited
     fall_multiple: float
-    warm_within: int  # from a backend's start to its full capacity
-    cold_capacity: float  # a backend's capacity at its start, as a part of its full one
+    warm_within: int  # time from a backend's start to its full capacity
+    cold_capacity: float  # capacity of a backend at its start, as a fraction of its full capacity
     discovery_on_request: bool
 
     @classmethod
     def from_flat(cls, flat: Mapping) -> "BalancerSettings":
-        """Reads the flat map; absent keys have the defaults given here."""
+        """Reads the settings from the flat map, with the defaults given here for absent keys."""
         read = flat.get
         nodes = max(read("nodes", 1), 1)
         zones = read("zones")
@@ -111,7 +111,7 @@
         health_checks = 0
         if read("policy_limits.probes", False) and reports_in_flight:
             affordable = int(HEALTH_CHECK_BUDGET / max(read("prices.probe", 0.0), 1e-6))
-            health_checks = min(affordable, MOST_HEALTH_CHECKS)
+            health_checks = min(affordable, MAX_HEALTH_CHECKS)
         gossips = not health_checks and read("policy_limits.peers", False) and nodes > 1
         return cls(
             nodes=nodes,
@@ -131,7 +131,7 @@
             max_attempts=read("policy_limits.max_upstream_tries", 1),
             health_checks=health_checks,
             gossips=bool(gossips),
-            blind=bool(gossips) and not reports_in_flight,
+            without_load_reports=bool(gossips) and not reports_in_flight,
             cpu_us_per_s=read("policy_limits.cpu_us_per_s", ONE_CORE_US_PER_S),
             tick=read("tick", 10),
             overload_window=read("rules.overload_for", 0),
--- a/basalthoist/decisions/units.py
+++ b/basalthoist/decisions/units.py
@@ -1,6 +1,6 @@
-"""Units of the decisions: times are whole tenths of a millisecond (monotonic), rates per second.
+"""Units of the decisions: times are integer tenths of a millisecond (monotonic), rates are per second.
 
-`SlowStart.rate` alone is per tenth of a millisecond.
+Only `SlowStart.rate` is per tenth of a millisecond.
 """
 
 SECOND = 10_000
--- a/basalthoist/net/discovery/client.py
+++ b/basalthoist/net/discovery/client.py
@@ -126,7 +126,7 @@
 
     def on_full_list(self, endpoint_list: EndpointList) -> None:
         """A list that was asked for has come."""
-        began_at = self.schedule.heard_at  # of the poll: the list is no older
+        began_at = self.schedule.last_progress_at  # of the poll: the list is no older
         self.apply(endpoint_list)
         self.schedule.on_endpoint_list(endpoint_list.revision)
         self.confirmed_at = began_at
@@ -135,7 +135,7 @@
     def on_watch_line(self) -> None:
         """A heartbeat or a change has come, complete."""
         self.schedule.on_watch_line(now())
-        self.confirmed_at = self.schedule.heard_at
+        self.confirmed_at = self.schedule.last_progress_at
         self.on_confirmed()
 
     def apply(self, update: EndpointList) -> None:
--- a/basalthoist/net/discovery/connection.py
+++ b/basalthoist/net/discovery/connection.py
@@ -39,7 +39,7 @@
     def __init__(self, discovery: "Discovery") -> None:
         self.discovery: Discovery = discovery
         self.schedule: PollSchedule = discovery.schedule
-        self.most_bytes: int = discovery.limits.list_bytes
+        self.max_bytes: int = discovery.limits.list_bytes
         self.address: tuple[str, int] = discovery.address
         self.transport: asyncio.Transport | None = None
         self.parser: httptools.HttpResponseParser = httptools.HttpResponseParser(self)
@@ -77,11 +77,11 @@
         self.schedule.on_input(now())
         try:
             self.parser.feed_data(data)
-            if len(self.text) + sum(map(len, self.lines)) > self.most_bytes:
+            if len(self.text) + sum(map(len, self.lines)) > self.max_bytes:
                 raise UnexpectedAnswerError("a list too large")
         except (httptools.HttpParserError, ValueError) as error:
             cause = error.__context__ or error
-            return self.fail(f"not understood: {cause}", lost=self.watching and self.answer_begun)
+            return self.fail(f"not understood: {cause}", revision_lost=self.watching and self.answer_begun)
         if not self.has_partial_input():
             self.schedule.on_input_complete(now())
 
@@ -102,11 +102,11 @@
         if self.transport is not None:
             self.transport.abort()
 
-    def fail(self, reason: str, lost: bool = False) -> None:
-        """Ends the poll. `lost`: from this revision discovery does not go on."""
+    def fail(self, reason: str, revision_lost: bool = False) -> None:
+        """Ends the poll. `revision_lost`: from this revision discovery does not go on."""
         if not self.is_abandoned():
             self.discovery.drop(reason)
-            self.schedule.on_failed(now(), lost)
+            self.schedule.on_failed(now(), revision_lost)
 
     # Called by httptools.
 
--- a/basalthoist/net/discovery/wall_clock.py
+++ b/basalthoist/net/discovery/wall_clock.py
@@ -9,7 +9,7 @@
 from basalthoist.net.runtime.timers import NANOSECONDS_PER_TENTH, SECOND, now
 
 TENTHS_PER_MS = 10
-MOST_CHANGE_DELAY = 30 * SECOND  # no change is told later than this after the last word without it
+MAX_CHANGE_DELAY = 30 * SECOND  # no change is told later than this after the last word without it
 
 
 def current_offset() -> int:
@@ -34,7 +34,7 @@
         placed = min(unix_ms * TENTHS_PER_MS - self.offset, at)
         if earliest is None or placed >= earliest:
             return placed
-        if placed < earliest - MOST_CHANGE_DELAY:
+        if placed < earliest - MAX_CHANGE_DELAY:
             # Guards against a clock that has been ahead since before the node began.
             self.offset = unix_ms * TENTHS_PER_MS - at
             return at
--- a/basalthoist/settings_codec.py
+++ b/basalthoist/settings_codec.py
@@ -6,18 +6,18 @@
 from collections.abc import Iterator
 from typing import Any
 
-FIRST_KEYS = {"accounts": "tenants", "siblings": "nodes"}
+TOP_LEVEL_KEYS = {"accounts": "tenants", "siblings": "nodes"}
 LOAD_REPORT_FIELDS = {"rif": "inflight", "q": "queue", "busy": "util"}
-TIME_KEYS = frozenset(  # in microseconds where they come from
+DURATION_KEYS = frozenset(  # in microseconds where they come from
     "latency_objective overall_timeout dedup_window connect_timeout keepalive max_retry_after ask_within"
     " drain_grace grace_to_answer overload_for warm_within tick".split()
 )
-MICROS_PER_TENTH = 100  # microseconds in a tenth of a millisecond
+MICROSECONDS_PER_TENTH = 100  # microseconds in a tenth of a millisecond
 
 
 def tenths(micros: int) -> int:
     """Microseconds to tenths of a millisecond: early rather than late, never from something to nothing."""
-    return max(1, micros // MICROS_PER_TENTH) if micros > 0 else 0
+    return max(1, micros // MICROSECONDS_PER_TENTH) if micros > 0 else 0
 
 
 def parse_value(text: str) -> bool | int | float | str:
@@ -70,12 +70,12 @@
 def translate(path: str, value: Any) -> tuple[str, Any]:  # noqa: ANN401 - as the file has it
     """The decisions' key and value. Raises ValueError for a time that is no number."""
     parts = path.split(".")
-    parts[0] = FIRST_KEYS.get(parts[0], parts[0])
+    parts[0] = TOP_LEVEL_KEYS.get(parts[0], parts[0])
     last = parts[-1]
-    if last in TIME_KEYS and not isinstance(value, int | float):
+    if last in DURATION_KEYS and not isinstance(value, int | float):
         raise ValueError(f"{path}: expected microseconds, got {value!r}")
     if last == "fields":
         value = [LOAD_REPORT_FIELDS.get(field, field) for field in value]
-    elif last in TIME_KEYS:
+    elif last in DURATION_KEYS:
         value = tenths(int(value))
     return ".".join(parts), value
--- a/tests/test_available.py
+++ b/tests/test_available.py
@@ -12,7 +12,7 @@
 class Stand:
     def __init__(self, name, zone, place, key=0):
         self.name, self.zone, self.position, self.key = name, zone, place, key
-        self.available, self.available_in = True, None
+        self.available, self.indexed_zone = True, None
 
 
 @pytest.mark.parametrize("seed", range(20))
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -3,14 +3,14 @@
 import pytest
 from helpers import NOW, SECOND, listed, node
 
-from basalthoist.decisions.admission import IDLE_ROUNDS, TenantQuota
+from basalthoist.decisions.admission import MAX_IDLE_SECONDS, TenantQuota
 from basalthoist.decisions.backend import Backend
 from basalthoist.decisions.interface import LoadReport, Outcome
-from basalthoist.decisions.outlier_detection import EJECT_AT, SUSPECT_AT
+from basalthoist.decisions.outlier_detection import EJECT_THRESHOLD, SUSPECT_THRESHOLD
 from basalthoist.decisions.profile import Point
 from basalthoist.decisions.random_numbers import Lcg
 from basalthoist.decisions.request import Attempt, Request
-from basalthoist.decisions.subset import LEAST_SUBSET
+from basalthoist.decisions.subset import MIN_SUBSET_CAPACITY
 
 
 def profiled(name, *points):
@@ -101,7 +101,7 @@
     backend = Backend(listed("a"), NOW, Lcg(1))
     for failed in outcomes:
         backend.outlier.test(failed, others_fail)
-    assert (backend.outlier.suspicion >= EJECT_AT) is ejected
+    assert (backend.outlier.suspicion >= EJECT_THRESHOLD) is ejected
 
 
 def test_a_few_sick_backends_do_not_make_failing_usual():
@@ -143,12 +143,12 @@
         made.check_silence(NOW + 1000, upstream)
     away = backend.outlier.ejected_until
     assert away > NOW + 1000
-    made.measure(NOW + 1100, tries[0], Outcome.COMPLETED, 1099)
+    made.update_estimates(NOW + 1100, tries[0], Outcome.COMPLETED, 1099)
     if not reports:
         assert backend.outlier.ejected_until == away
         return
     assert backend.outlier.ejected_until <= NOW + 1100
-    assert backend.outlier.suspicion > SUSPECT_AT  # one try at a time until it has answered some
+    assert backend.outlier.suspicion > SUSPECT_THRESHOLD  # one try at a time until it has answered some
 
 
 @pytest.mark.parametrize(
@@ -162,7 +162,7 @@
         made.on_health_check_ended(NOW + 5, name, Outcome.COMPLETED, 5, LoadReport(0.0, 0.0, 0.0))
     (_, _, name, _) = host.take("send")[0]
     backend = made.backends[name]
-    backend.rejections = in_a_row - 1
+    backend.consecutive_rejections = in_a_row - 1
     made.on_attempt_ended(NOW + 100, 1, 0, Outcome.REJECTED, 95, False, load)
     assert (backend.saturated_until > NOW + 100) is full
     assert (backend.service_time_sum == made.route_bounds.objective) is full
@@ -195,7 +195,7 @@
     fleet = [listed(f"{zone}-{i}", zone=zone) for zone in range(4) for i in range(25)]
     made, _ = node(fleet)
     used = {b.name for b in made.subset.backends}
-    assert LEAST_SUBSET <= len(used) <= LEAST_SUBSET + 4
+    assert MIN_SUBSET_CAPACITY <= len(used) <= MIN_SUBSET_CAPACITY + 4
     assert {name[0] for name in used} == set("0123")
     made.on_endpoint_list(
         NOW, fleet[::-1][:-1], True
@@ -224,7 +224,7 @@
         )
     made.solver.solve(NOW, made.demand)
     a, b, c = (made.backends[name] for name in "abc")
-    assert made.loads.expected(c, NOW) == pytest.approx(made.loads.expected(b, NOW), rel=0.1)
+    assert made.loads.expected_time(c, NOW) == pytest.approx(made.loads.expected_time(b, NOW), rel=0.1)
     assert c.profile.line[0][1] > 2 * a.profile.line[0][1]
 
 
@@ -287,9 +287,9 @@
     for second in range(60):
         for number in range(4):
             for _ in range(4 if number else 40):  # customer 0 sends ten times as much
-                made.quotas.tenants[number].within(NOW + second * SECOND, False, made.quotas.part)
+                made.quotas.tenants[number].take(NOW + second * SECOND, False, made.quotas.node_fraction)
         made.tick(NOW + second * SECOND)
-    assert 100.0 * made.quotas.part == pytest.approx(4.0, rel=0.1)
+    assert 100.0 * made.quotas.node_fraction == pytest.approx(4.0, rel=0.1)
 
 
 def test_a_quota_changed_in_service_counts_at_once():
@@ -298,7 +298,7 @@
 
     def passed(begin):
         every = range(NOW + begin * SECOND, NOW + (begin + 10) * SECOND, SECOND // 10)
-        return sum(made.quotas.tenants[0].within(at, False, made.quotas.part) for at in every)
+        return sum(made.quotas.tenants[0].take(at, False, made.quotas.node_fraction) for at in every)
 
     told = [None, 40.0, 0.0, 10.0]
     found = []
@@ -346,25 +346,25 @@
             for _ in range(int(rate + chance.random())):
                 again = chance.random() < 0.2
                 every.came[number] += not again
-                made.quotas.tenants[number].within(at, again, made.quotas.part)
+                made.quotas.tenants[number].take(at, again, made.quotas.node_fraction)
         made.tick(at)
-        assert made.quotas.part == every.tick()
-        moved += made.quotas.part > 1 / nodes
+        assert made.quotas.node_fraction == every.tick()
+        moved += made.quotas.node_fraction > 1 / nodes
     assert moved or seed in (0, 4, 7)  # or it would be an even part throughout that is compared
 
 
 def test_a_round_costs_the_active_customers_and_not_all_there_are(monkeypatch):
     made, _ = node([listed("a")], nodes=100, **customers([1.0] * 5000))
-    reckoned, close_round = [], TenantQuota.close_round
+    reckoned, end_second = [], TenantQuota.end_second
     monkeypatch.setattr(
-        TenantQuota, "close_round", lambda one, rounds: reckoned.append(one) or close_round(one, rounds)
+        TenantQuota, "end_second", lambda one, rounds: reckoned.append(one) or end_second(one, rounds)
     )
     made.tick(NOW)
     for number in range(30):
-        made.quotas.tenants[number].within(NOW, False, made.quotas.part)
+        made.quotas.tenants[number].take(NOW, False, made.quotas.node_fraction)
     made.tick(NOW + SECOND)
     assert len(reckoned) == 30
-    for second in range(2, 2 + IDLE_ROUNDS + 1):
+    for second in range(2, 2 + MAX_IDLE_SECONDS + 1):
         made.tick(NOW + second * SECOND)
     reckoned.clear()
     made.tick(NOW + 1000 * SECOND)
@@ -376,7 +376,7 @@
     made.on_quota(NOW, 7, 5.0)
     assert made.quotas.tenants[7].quota == 5.0 and made.quotas.tenants[0].quota == 10.0
     made.on_request(NOW, 1, 0, 7, 8000, False)
-    assert host.take("send") and made.quotas.tenants[7].came == 1
+    assert host.take("send") and made.quotas.tenants[7].arrivals == 1
     made.on_quota(NOW, 7, None)
     made.on_quota(NOW, 7, None)
     assert 7 not in made.quotas.tenants and all(c is made.quotas.tenants[0] for c in made.quotas.active)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -232,7 +232,7 @@
 
     def on_input(self, now):
         super().on_input(now)
-        self.heard_at, self.poll_by = now, now + self.interval
+        self.last_progress_at, self.poll_by = now, now + self.interval
 
 
 class OnceListed(PollSchedule):
@@ -240,7 +240,7 @@
 
     def on_endpoint_list(self, revision):
         super().on_endpoint_list(revision)
-        self.heard_at = self.host.now
+        self.last_progress_at = self.host.now
 
 
 class FromItsEnd(PollSchedule):
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -23,9 +23,9 @@
 
 from basalthoist.addresses import address_of
 from basalthoist.decisions.interface import GossipKind, GossipMessage, LoadReport, Outcome
-from basalthoist.decisions.outlier_detection import SUSPECT_AT
+from basalthoist.decisions.outlier_detection import SUSPECT_THRESHOLD
 from basalthoist.decisions.request import Request
-from basalthoist.gossip_codec import MOST_BYTES, decode, encode
+from basalthoist.gossip_codec import MAX_DATAGRAM_BYTES, decode, encode
 from basalthoist.simulator.adapter import serve
 
 TALKS = {
@@ -57,7 +57,7 @@
 
 def test_a_long_queue_is_told_as_the_most_that_fits_and_a_datagram_stays_within_its_limit():
     assert decode(encode([(GossipKind.IN_FLIGHT, 1, 4000)])) == [(GossipKind.IN_FLIGHT, 1, 252)]
-    assert len(encode([(GossipKind.SENT, 1, 0)] * 500)) <= MOST_BYTES
+    assert len(encode([(GossipKind.SENT, 1, 0)] * 500)) <= MAX_DATAGRAM_BYTES
 
 
 @pytest.mark.parametrize("data", [b"", b"\2", b"\x01\x00", b"\x01\x00\x00", b"\x00abc", b"\1" + 90 * b"abc"])
@@ -238,7 +238,7 @@
     for name in list(made[0].backends)[:: max(fleet // 50, 1)]:
         users = {one.settings.own_number for one in made if one.backends[name] in one.subset.backends}
         for one in made:
-            assert set(one.gossip.audience(one.backends[name])) == users - {one.settings.own_number}
+            assert set(one.gossip.peers_using(one.backends[name])) == users - {one.settings.own_number}
     assert all(0 < len(one.subset.backends) < fleet / 2 for one in made)
 
 
@@ -266,7 +266,7 @@
 def blind(*names, **more):
     """A node that talks where backends report nothing."""
     made, host = talking(*names, **more, **{"feedback.fields": []})
-    assert made.settings.blind
+    assert made.settings.without_load_reports
     return made, host
 
 
@@ -299,8 +299,8 @@
         made.on_gossip(NOW, peer, [GossipMessage(GossipKind.SENT, key, 0)] * count)
     made.tick(NOW + SECOND)
     host.calls.clear()
-    made.gossip.tell(NOW + SECOND, GossipKind.ANSWERED, made.backends["a"])
-    made.gossip.tell(NOW + SECOND, GossipKind.EJECTED, made.backends["a"])
+    made.gossip.announce(NOW + SECOND, GossipKind.ANSWERED, made.backends["a"])
+    made.gossip.announce(NOW + SECOND, GossipKind.EJECTED, made.backends["a"])
     done, out = [call[2] for call in host.take("gossip")]
     assert done == [1]
     assert set(out) == set(range(made.settings.nodes)) - {made.settings.own_number}
@@ -311,4 +311,4 @@
     for peer in range(5):
         made.on_gossip(NOW, peer, [GossipMessage(GossipKind.EJECTED, made.backends["a"].key, 0)])
     assert made.backends["a"].outlier.ejected_until <= NOW
-    assert made.backends["a"].outlier.suspicion > SUSPECT_AT
+    assert made.backends["a"].outlier.suspicion > SUSPECT_THRESHOLD
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -148,7 +148,7 @@
     made, _ = node([listed("a")])
     backend, request = made.backends["a"], Request(1, made.routes[0], NOW, NOW + 8000, NOW + 3000, False)
     for outcome, mean in ((Outcome.COMPLETED, 100), (Outcome.REJECTED, 4050)):
-        made.measure(NOW, Attempt(request, backend, NOW, 0.0), outcome, 100)
+        made.update_estimates(NOW, Attempt(request, backend, NOW, 0.0), outcome, 100)
         assert backend.profile.total_time / backend.profile.count == mean
 
 
@@ -156,18 +156,18 @@
 def test_chance_at_a_small_node_is_told_from_surplus(gap, surplus):
     made, _ = node([listed("a")], tenants__count=1, **{"tenants__0__quota_per_s": 0.4})  # two nodes
     times = [NOW + int(gap * 50_000 * (i - i % 3)) for i in range(24)]  # they come in threes
-    marks = [made.quotas.tenants[0].within(at, False, made.quotas.part) for at in times]
+    marks = [made.quotas.tenants[0].take(at, False, made.quotas.node_fraction) for at in times]
     assert (marks.count(False) > 4) is surplus
 
 
 def test_surplus_gives_way_where_exchanges_in_share_are_shed():
     made, _ = node([listed("a")])
     for surplus, welcome in ((True, 1.0), (False, 0.9)):
-        made.give_up(NOW, Request(1, made.routes[0], NOW, NOW + 8000, NOW + 3000, surplus))
-        assert made.surplus.admitted == welcome
+        made.shed_or_fail(NOW, Request(1, made.routes[0], NOW, NOW + 8000, NOW + 3000, surplus))
+        assert made.surplus.admitted_fraction == welcome
     late = Request(2, made.routes[0], NOW, NOW + 8000, NOW + 3000, False)
-    made.measure(NOW + 3001, Attempt(late, made.backends["a"], NOW, 0.0), Outcome.COMPLETED, 3001)
-    assert made.surplus.admitted == pytest.approx(0.8)
+    made.update_estimates(NOW + 3001, Attempt(late, made.backends["a"], NOW, 0.0), Outcome.COMPLETED, 3001)
+    assert made.surplus.admitted_fraction == pytest.approx(0.8)
 
 
 @pytest.mark.parametrize(
@@ -184,12 +184,12 @@
         made.finish(made.requests[number])
         request = Request(number, made.routes[0], at, at + 8000, at + 3000, False)
         if chance.uniform() < missed:
-            made.give_up(at, request)
-        seen.append(max(made.surplus.admitted, 0.0))
+            made.shed_or_fail(at, request)
+        seen.append(max(made.surplus.admitted_fraction, 0.0))
     assert least <= sum(seen[200:]) / 1000 <= most
     for number in range(2000, 2070):  # seven seconds after the last miss all of it is welcome again
         made.on_request(at, number, 0, 0, 8000, False)
-    assert made.surplus.admitted == 1.0
+    assert made.surplus.admitted_fraction == 1.0
 
 
 @pytest.mark.parametrize(("late_value", "calls"), [(0.0, ["shed"]), (0.5, ["send"])])
