--- a/basalthoist/endpoint_list.py
+++ b/basalthoist/endpoint_list.py
@@ -1,23 +1,23 @@
-"""The endpoint list as discovery sends it and as it is saved. The field names of an entry are the wire's."""
+"""The endpoint list as sent by discovery and as saved. The field names are those of the wire."""
 
 import msgspec
 
 
 class ListedEndpoint(msgspec.Struct):
-    """One backend, as discovery lists it."""
+    """One entry of discovery's list."""
 
     id: str
     host_port: str = ""
-    locality: str = ""  # zone
-    flavor: str = ""  # kind of machine
-    cell: int = 0  # group
+    locality: str = ""  # name of the zone
+    flavor: str = ""  # name of the machine kind
+    cell: int = 0  # deduplication group
     phase: str = "ready"
-    size: float = 1.0  # capacity, relative to others
-    up_since_ms: int = 0  # Unix time of its start; 0: not told
+    size: float = 1.0  # capacity relative to other backends
+    up_since_ms: int = 0  # Unix time of its start in milliseconds; 0: unknown
 
 
 class EndpointList(msgspec.Struct):
-    """A list, or with `complete` false the changes since the revision before."""
+    """The complete list, or, if not `complete`, the changes since the previous revision."""
 
     revision: int
     endpoints: list[ListedEndpoint] = msgspec.field(name="members")
--- a/basalthoist/net/discovery/__init__.py
+++ b/basalthoist/net/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The endpoint list: when discovery is polled, what it sends, and how the decisions are notified."""
+"""Service discovery: polls for the endpoint list and passes it to the decisions."""
--- a/basalthoist/net/discovery/client.py
+++ b/basalthoist/net/discovery/client.py
@@ -1,6 +1,6 @@
-"""Discovery: a watch on changes from the revision that is known, kept up for as long as the node lives.
+"""The discovery client: keeps a watch on changes since the known revision for the life of the process.
 
-The whole list comes first where there is no revision to go on from, as after a move.
+It requests the complete list first if there is no revision to continue from, as after a change of address.
 """
 
 import asyncio
@@ -21,7 +21,7 @@
 
 
 def poll_times(configuration: Configuration) -> PollTimes:
-    """The times of a node's file, in tenths of a millisecond."""
+    """Returns the times from the node's configuration, in tenths of a millisecond."""
     limits = configuration.limits
     return PollTimes(
         silence_timeout=int(limits.watch_silent_s * SECOND),
@@ -34,7 +34,7 @@
 
 
 class Discovery:
-    """Carries out what `PollSchedule` decides, and hands on what comes, to the pools and the decisions."""
+    """Carries out the polls of a `PollSchedule`; passes lists and changes to the pools and the decisions."""
 
     def __init__(
         self,
@@ -54,63 +54,63 @@
         self.address: tuple[str, int] = configuration.discovery
         settings = configuration.network_settings
         self.translator: Translator = Translator(settings.zones, settings.kinds)
-        # Guards against a whole tier that comes back to discovery in step.
+        # Random delays guard against all nodes of a tier polling discovery at the same time.
         random = Lcg(configuration.seed).uniform
         self.schedule: PollSchedule = PollSchedule(self, random, poll_times(configuration))
-        self.connection: DiscoveryConnection | None = None  # of the poll that goes on
+        self.connection: DiscoveryConnection | None = None  # of the current poll
         self.connecting: asyncio.Task | None = None
         self.timer: Timer | None = None
-        self.confirmed_at: int | None = None  # when what is known was last confirmed
-        self.on_confirmed: Callable[[], None] = lambda: None  # a list, or a line of the watch
-        self.on_names: Callable[[list[str]], None] = lambda names: None  # of each list and change
+        self.confirmed_at: int | None = None  # when discovery last confirmed the known list
+        self.on_confirmed: Callable[[], None] = lambda: None  # called after a list or a line of the watch
+        self.on_names: Callable[[list[str]], None] = lambda names: None  # called for each list and change
 
     def start(self, saved: EndpointList) -> None:
-        """Begins with the saved list, until discovery has answered."""
+        """Applies the saved list, which is used until discovery has answered, and starts polling."""
         saved.complete = True
         self.apply(saved)
         self.schedule.on_start(now(), saved.revision, bool(saved.endpoints))
 
     def move(self, address: tuple[str, int]) -> None:
-        """Another agent, as planned. The old one, and a connect on its way, count no more."""
+        """Switches to discovery at another address, and drops the current poll."""
         self.disconnect()
         self.address = address
         self.log("discovery moves to {}:{}".format(*address))
         self.schedule.on_move(now())
 
-    # What `PollSchedule` asks for.
+    # The methods of `PollHost`.
 
     def start_poll(self) -> None:
-        """Connects; the connection asks by itself."""
+        """Connects to discovery; the connection then sends the request itself."""
         connection = self.connection = DiscoveryConnection(self)
         connecting = self.loop.create_connection(lambda: connection, *self.address)
         self.connecting = self.loop.create_task(connecting)
         self.connecting.add_done_callback(lambda task: self.on_connected(connection, task))
 
     def on_connected(self, connection: DiscoveryConnection, task: asyncio.Task) -> None:
-        """The connect has ended, well or not."""
+        """Ends the poll if connecting has failed."""
         if not task.cancelled() and task.exception() is not None:
             connection.fail(f"not reached: {task.exception()!r}")
 
     def give_up(self) -> None:
-        """Ends a poll that hangs or has fallen silent."""
-        within = f"{self.limits.watch_silent_s:.1f} s"
+        """Ends a poll on which nothing complete has come in time, and logs why."""
+        limit = f"{self.limits.watch_silent_s:.1f} s"
         if self.connection.transport is None:
-            self.drop(f"not reached: no connection in {within}")
+            self.drop(f"not reached: no connection within {limit}")
         elif self.connection.has_partial_input():
-            self.drop(f"not whole in {within}")
+            self.drop(f"sent no complete message within {limit}")
         else:
-            self.drop(f"silent for {within}")
+            self.drop(f"sent nothing within {limit}")
 
     def wake_at(self, at: int) -> None:
-        """Wakes the schedule at this time, and at no other."""
+        """Wakes the schedule at this time, instead of any requested before."""
         if self.timer is not None:
             self.timer.stop()
         self.timer = self.timers.after(max(at - now(), 0), lambda: self.schedule.on_wake(now()))
 
-    # What happens on the poll.
+    # Events of the poll.
 
     def disconnect(self) -> None:
-        """Ends the poll; what still comes on its connection counts no more."""
+        """Ends the poll; data still received on its connection is ignored."""
         connection, self.connection = self.connection, None
         if self.connecting is not None:
             self.connecting.cancel()
@@ -119,27 +119,27 @@
             connection.abort()
 
     def drop(self, reason: str) -> None:
-        """Ends a poll that has failed."""
+        """Ends a failed poll: logs the reason and notifies the decisions."""
         self.log(f"discovery {reason}")
         self.disconnect()
         self.dispatcher.on_endpoint_list_failed()
 
     def on_full_list(self, endpoint_list: EndpointList) -> None:
-        """A list that was asked for has come."""
-        began_at = self.schedule.last_progress_at  # of the poll: the list is no older
+        """Applies a complete list."""
+        polled_at = self.schedule.last_progress_at  # the list is no older than the start of its poll
         self.apply(endpoint_list)
         self.schedule.on_endpoint_list(endpoint_list.revision)
-        self.confirmed_at = began_at
+        self.confirmed_at = polled_at
         self.on_confirmed()
 
     def on_watch_line(self) -> None:
-        """A heartbeat or a change has come, complete."""
+        """Handles a complete heartbeat or change."""
         self.schedule.on_watch_line(now())
         self.confirmed_at = self.schedule.last_progress_at
         self.on_confirmed()
 
     def apply(self, update: EndpointList) -> None:
-        """Hands a list, or changes, to the pools and the decisions."""
+        """Passes a list, or changes, to the pools and the decisions."""
         self.schedule.revision = update.revision
         self.on_names([entry.id for entry in update.endpoints])
         endpoints: list[Endpoint] = []
@@ -163,14 +163,14 @@
             self.translator.forget(name)
 
     def update_pool(self, entry: ListedEndpoint, endpoint: Endpoint) -> bool:
-        """Tells the pool of a backend. False: the entry makes no sense and is left out."""
+        """Updates the pool of a backend. Returns False if the entry is invalid and left out."""
         pool = self.upstream.pools.get(entry.id)
         healthy = endpoint.state == "healthy"
         try:
             address = address_of(entry.host_port)
         except ValueError as error:
-            # Guards against one entry that makes no sense and costs the node all the others. That a
-            # backend drains makes sense wherever it is.
+            # Guards against losing all other entries to one invalid entry. A known backend may drain whatever
+            # its address.
             if pool is None or healthy:
                 self.log(f"{entry.id} left out: {error}")
                 return False
--- a/basalthoist/net/discovery/connection.py
+++ b/basalthoist/net/discovery/connection.py
@@ -1,4 +1,4 @@
-"""One connection to discovery: an answer with the whole list, then a watch on changes that stays open."""
+"""One connection to discovery: a response with the complete list, then a watch on changes."""
 
 import asyncio
 import re
@@ -17,23 +17,28 @@
 LIST_PATH = "/v1/endpoints"
 WATCH_PATH = "/v1/endpoints?stream=1&index={revision}"
 DECODER = msgspec.json.Decoder(EndpointList)
-STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')  # within a line: in JSON none goes over the end of one
+STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')  # JSON strings never span lines
 
 
 class UnexpectedAnswerError(ValueError):
-    """What discovery has sent is no list and no watch."""
+    """Discovery has sent neither an endpoint list nor a watch."""
 
 
 def nesting_of(line: bytes) -> int:
-    """How many more braces and brackets a line opens than it closes."""
-    bare = STRING.sub(b"", line)
-    return bare.count(b"{") + bare.count(b"[") - bare.count(b"}") - bare.count(b"]")
+    """Returns how many more braces and brackets a line opens than it closes."""
+    without_strings = STRING.sub(b"", line)
+    return (
+        without_strings.count(b"{")
+        + without_strings.count(b"[")
+        - without_strings.count(b"}")
+        - without_strings.count(b"]")
+    )
 
 
 class DiscoveryConnection(asyncio.Protocol):
-    """Asks for the list and then for the watch, or for the watch alone.
+    """Requests the list and then the watch, or only the watch.
 
-    Where discovery closes after the list, the next connection begins with the watch.
+    If discovery closes the connection after the list, the next connection starts with the watch.
     """
 
     def __init__(self, discovery: "Discovery") -> None:
@@ -45,13 +50,13 @@
         self.parser: httptools.HttpResponseParser = httptools.HttpResponseParser(self)
         self.watching: bool = False
         self.reading_head: bool = False
-        self.answer_begun: bool = False  # what is wrong with it is then more than that it was refused
-        self.text: bytes = b""  # of the list, or of the last line of the watch
-        self.lines: list[bytes] = []  # of an object that is not complete yet
-        self.nesting: int = 0  # at the end of these lines
+        self.answer_begun: bool = False  # a response with a status other than 429 and 5xx has begun
+        self.text: bytes = b""  # received part of the list, or of the last line of the watch
+        self.lines: list[bytes] = []  # lines of an incomplete object
+        self.nesting: int = 0  # open braces and brackets at the end of these lines
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Asks for the list, or for the watch where the list is known."""
+        """Requests the list, or the watch if the list is known."""
         self.transport = transport
         if self.is_abandoned():
             self.abort()
@@ -61,24 +66,24 @@
             self.request(LIST_PATH)
 
     def request_watch(self) -> None:
-        """Asks for the changes from the revision that is known."""
+        """Requests the changes since the known revision."""
         self.watching = True
         self.request(WATCH_PATH.format(revision=self.schedule.revision))
 
     def request(self, path: str) -> None:
-        """Sends a request."""
+        """Sends a GET request."""
         host = "{}:{}".format(*self.address)
         self.transport.write(f"GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode())
 
     def data_received(self, data: bytes) -> None:
-        """Reads on; the callbacks below take what is complete."""
+        """Parses received data; the callbacks below handle the complete parts."""
         if self.is_abandoned():
             return
         self.schedule.on_input(now())
         try:
             self.parser.feed_data(data)
             if len(self.text) + sum(map(len, self.lines)) > self.max_bytes:
-                raise UnexpectedAnswerError("a list too large")
+                raise UnexpectedAnswerError(f"list larger than {self.max_bytes} bytes")
         except (httptools.HttpParserError, ValueError) as error:
             cause = error.__context__ or error
             return self.fail(f"not understood: {cause}", revision_lost=self.watching and self.answer_begun)
@@ -86,24 +91,24 @@
             self.schedule.on_input_complete(now())
 
     def has_partial_input(self) -> bool:
-        """Whether something has begun to come that is not complete yet."""
+        """Returns whether an incomplete message has been received."""
         return self.reading_head or bool(self.text or self.lines)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The poll has ended."""
+        """Ends the poll after the connection was closed."""
         self.fail(f"ended: {error or 'closed'}")
 
     def is_abandoned(self) -> bool:
-        """Whether it has been given up, or discovery has moved: what comes here counts no more."""
+        """Returns whether the poll on this connection was given up, so that its data is ignored."""
         return self.discovery.connection is not self
 
     def abort(self) -> None:
-        """Closes at once."""
+        """Closes the connection at once."""
         if self.transport is not None:
             self.transport.abort()
 
     def fail(self, reason: str, revision_lost: bool = False) -> None:
-        """Ends the poll. `revision_lost`: from this revision discovery does not go on."""
+        """Ends the poll. `revision_lost`: discovery cannot continue from the known revision."""
         if not self.is_abandoned():
             self.discovery.drop(reason)
             self.schedule.on_failed(now(), revision_lost)
@@ -111,19 +116,19 @@
     # Called by httptools.
 
     def on_message_begin(self) -> None:
-        """The head of an answer begins."""
+        """Handles the start of a response head."""
         self.reading_head = True
 
     def on_headers_complete(self) -> None:
-        """Raises UnexpectedAnswerError for any status but 200."""
+        """Handles a complete head. Raises UnexpectedAnswerError for any status but 200."""
         self.reading_head = False
         status = self.parser.get_status_code()
         self.answer_begun = status != 429 and status < 500
         if status != 200:
-            raise UnexpectedAnswerError(f"status {status}")
+            raise UnexpectedAnswerError(f"expected status 200, got {status}")
 
     def on_body(self, data: bytes) -> None:
-        """A piece of the list, or of the watch, whose complete lines are taken."""
+        """Handles a part of the list or of the watch; complete lines of the watch are applied."""
         self.text += data
         if not self.watching:
             return
@@ -135,7 +140,7 @@
                 self.discovery.on_watch_line()
 
     def take_line(self, line: bytes) -> None:
-        """One object a line, or an object over several, as indented ones are: applied whole or not at all."""
+        """Applies an object once it is complete; indented objects span several lines."""
         self.lines.append(line)
         self.nesting += nesting_of(line)
         if self.nesting <= 0:
@@ -143,12 +148,12 @@
             self.discovery.apply(DECODER.decode(text))
 
     def on_message_complete(self) -> None:
-        """The whole list has come. Raises UnexpectedAnswerError where it was the watch that ended."""
+        """Applies the complete list. Raises UnexpectedAnswerError if the watch has ended."""
         if self.watching:
-            raise UnexpectedAnswerError("the watch was ended")
+            raise UnexpectedAnswerError("expected an open watch, got its end")
         text, self.text = self.text, b""
         self.discovery.on_full_list(DECODER.decode(text))
         if self.parser.should_keep_alive():
             self.request_watch()
         else:
-            self.fail("closes after the list")
+            self.fail("closes the connection after the list")
--- a/basalthoist/net/discovery/polling.py
+++ b/basalthoist/net/discovery/polling.py
@@ -1,11 +1,11 @@
-"""When discovery is polled, what is asked for and when a poll is given up, without I/O.
-
-Times are whole tenths of a millisecond, handed in as `now`. A change is to be known `known_within` after
-discovery had it and could be reached, whatever failed before. So the *beginnings* of two polls are never
-further apart than three quarters of that, and a poll goes on only as long as complete messages come on it:
-the first line of its watch within `silence_timeout` of the poll's beginning, whatever came of the list
-meanwhile, and each later line within `silence_timeout` of the one before. The last quarter is for the poll
-that succeeds and for the event loop. docs/design.md, Discovery.
+"""Schedules the polls of discovery: when to poll, what to request and when to give up a poll. Does no I/O.
+
+Times are integer tenths of a millisecond, passed as `now`. A change must be known at most `known_within`
+after discovery has it and is reachable, whatever failed before. Therefore the *starts* of two polls are at
+most three quarters of that time apart, and a poll continues only while complete messages arrive: the first
+line of its watch within `silence_timeout` of the poll's start, whatever arrives of the list meanwhile, and
+each later line within `silence_timeout` of the previous one. The last quarter is for the poll that succeeds
+and for delays of the event loop. See docs/design.md, Discovery.
 """
 
 from collections.abc import Callable
@@ -15,22 +15,24 @@
 
 from basalthoist.decisions.units import SECOND
 
-INTERVAL_FRACTION = (
-    0.75  # of `known_within`, from the start of a poll or the last line of its watch to the next
-)
-MAX_OVERDUE_WAIT = SECOND * 15 // 100  # the longest wait where the next poll is overdue
-MOVE_DIVISOR = 4  # of the time after a move: how long a poll may say nothing; waits are up to half of that
-PUSHED_BACKOFF_DIVISOR = 4  # of the longest wait where lists are pushed: a poll of the agent weighs on nobody
-MAX_READ_SPAN = SECOND * 3 // 10  # pieces that come within it count as come in one
-MAX_COUNTED_FAILURES = 20  # that are counted for the backoff
+# The longest time from the start of a poll, or from the last line of its watch, to the next poll, as a
+# fraction of `known_within`.
+INTERVAL_FRACTION = 0.75
+MAX_OVERDUE_WAIT = SECOND * 15 // 100  # longest wait if the next poll is overdue
+# After a move, a poll may be silent for `move_allowance` divided by this; waits are at most half as long.
+MOVE_DIVISOR = 4
+# Divides the maximum backoff where lists are pushed: there a poll only loads the local agent.
+PUSHED_BACKOFF_DIVISOR = 4
+MAX_READ_SPAN = SECOND * 3 // 10  # data received within this time counts as received at once
+MAX_COUNTED_FAILURES = 20  # the backoff does not grow after this many
 
 
 class PollTimes(msgspec.Struct, frozen=True):
-    """The times that a schedule goes by.
+    """The times of a schedule.
 
     `backoff` doubles with each failure up to `max_backoff`. `slot_cycle`: how long discovery takes to serve
-    a whole tier one by one, where polls weigh on it. `move_allowance`: what a new address has to tell counts
-    as known so long after the move.
+    all nodes of a tier one by one, if polls load it; else 0. `move_allowance`: how long after a move the
+    list of the new address may stay unknown.
     """
 
     silence_timeout: int
@@ -42,20 +44,20 @@
 
 
 class PollHost(Protocol):
-    """Carries out what a schedule decides."""
+    """Carries out the commands of a `PollSchedule`."""
 
     def start_poll(self) -> None:
-        """Opens a connection and asks on it: for the list, or for the watch where `has_list` is set."""
+        """Opens a connection and requests the list, or the watch if `has_list` is set."""
 
     def give_up(self) -> None:
-        """Ends the poll, which hangs or has fallen silent."""
+        """Ends the poll, on which nothing complete has come in time."""
 
     def wake_at(self, at: int) -> None:
-        """`on_wake` at this time instead of one asked for before."""
+        """Calls `on_wake` at this time, instead of any time requested before."""
 
 
 class PollSchedule:
-    """One poll at a time; `has_list` and `revision` tell what the next is to ask for."""
+    """Runs one poll at a time. `has_list` and `revision` determine what the next poll requests."""
 
     def __init__(self, host: PollHost, random: Callable[[], float], times: PollTimes) -> None:
         self.host: PollHost = host
@@ -64,7 +66,7 @@
         self.interval: int = int(INTERVAL_FRACTION * times.known_within)
         self.slot_cycle: int = times.slot_cycle
         self.move_allowance: int = times.move_allowance
-        # Guards against a large tier that polls faster than discovery, which does not grow with it, answers.
+        # Guards against a large tier that polls faster than discovery, whose capacity is fixed, can answer.
         self.initial_backoff: int = max(times.backoff, times.slot_cycle // 2)
         self.backoff_limit: int = max(times.backoff, times.max_backoff // PUSHED_BACKOFF_DIVISOR)
         if times.slot_cycle:
@@ -74,97 +76,97 @@
         self.has_list: bool = False
         self.revision: int = 0
         self.failures: int = 0
-        self.next_at: int = 0  # when the next poll begins
-        self.poll_by: int = 0  # when the next poll is to begin at the latest
+        self.next_at: int = 0  # when the next poll starts
+        self.poll_by: int = 0  # when the next poll must start at the latest
         self.previous_poll_by: int = 0
-        self.fast_polls_until: int = 0  # until then polls at a new address are in a hurry
+        self.fast_polls_until: int = 0  # until then, polls at a new address have shorter timeouts and waits
 
-        # Of the poll that goes on.
+        # The current poll.
         self.polling: bool = False
-        self.is_watching: bool = False  # a complete line has come on its watch
-        self.resumed: bool = False  # it began with the watch, from a revision
-        self.last_progress_at: int = 0  # when it began, or its last line came
-        self.has_input: bool = False
-        self.partial_since: int | None = None  # when the first piece came of what is not complete yet
+        self.is_watching: bool = False  # a complete line of its watch has been received
+        self.resumed: bool = False  # it started with the watch, from a revision
+        self.last_progress_at: int = 0  # when it started, or its last line was received
+        self.has_input: bool = False  # any data has been received
+        self.partial_since: int | None = None  # when the first data of an incomplete message was received
 
-    # What the node wants.
+    # Commands of the node.
 
     def on_start(self, now: int, revision: int, known: bool) -> None:
-        """`known`: there are backends from before, which serve meanwhile."""
-        self.has_list = revision > 0  # a watch from there brings all that a list would
+        """Starts polling. `known`: the node has backends from a saved list in the meantime."""
+        self.has_list = revision > 0  # a watch from this revision reports all that a list would
         self.revision = revision
         self.poll_by = now + self.interval
-        # Guards against nodes killed together that poll together.
+        # Guards against nodes that were killed together and then poll at the same time.
         if self.uses_slots and known:
             self.schedule_poll(now, int(min(self.slot_cycle, self.interval) * self.random()))
         else:
             self.start_poll(now)
 
     def on_move(self, now: int) -> None:
-        """Another agent, as planned: no failure. The whole list first, as its revisions may be others."""
+        """Polls a new address for the list, as its revisions may differ. Does not count a failure."""
         self.has_list, self.revision, self.failures = False, 0, 0
         self.fast_polls_until = now + int(INTERVAL_FRACTION * self.move_allowance)
         self.start_poll(now)
 
     def on_wake(self, now: int) -> None:
-        """The time that was asked for has come."""
+        """Starts the next poll or gives up the current one, if it is time to."""
         if not self.polling:
             return self.start_poll(now) if now >= self.next_at else self.host.wake_at(self.next_at)
         if now < self.last_progress_at + self.silence_limit():
             return self.host.wake_at(self.last_progress_at + self.silence_limit())
-        # Guards against a poll that was cut off, hangs in connecting or never comes to an end of its answer:
+        # Guards against a poll that was cut off, hangs while connecting or never completes its response:
         # nothing else ends it.
         self.host.give_up()
         if self.is_watching:
-            self.failures = 0  # to wait for it was a wait between two polls
+            self.failures = 0  # the silent time already served as the wait between two polls
         self.on_failed(now)
 
-    # What happens on a poll.
+    # Events of a poll.
 
     def on_input(self, now: int) -> None:
-        """A piece has come and is about to be read."""
+        """Handles received data before it is parsed."""
         self.has_input = True
         if self.partial_since is None:
             self.partial_since = now
 
     def on_input_complete(self, now: int) -> None:
-        """All that came was complete."""
+        """Handles the state that all data received so far was complete."""
         if self.partial_since is not None and now - self.partial_since <= MAX_READ_SPAN:
             self.partial_since = None
 
     def on_endpoint_list(self, revision: int) -> None:
-        """A whole list has come. It may be old by now if it came slowly: the next poll is not put off."""
+        """Handles a complete list. A slow list may be old by now, so it does not delay the next poll."""
         self.has_list, self.revision = True, revision
 
     def on_watch_line(self, now: int) -> None:
-        """A heartbeat or a change, complete."""
-        # Guards against an answer from before that goes on byte by byte: it says what was so when it began.
+        """Handles a complete heartbeat or change."""
+        # Guards against an old line that arrives byte by byte: it is as old as its first byte.
         self.last_progress_at = now if self.partial_since is None else self.partial_since
         self.partial_since, self.is_watching, self.failures = None, True, 0
         self.poll_by = self.last_progress_at + self.interval
 
     def on_failed(self, now: int, revision_lost: bool = False) -> None:
-        """The poll has ended. `revision_lost`: from this revision discovery does not go on."""
+        """Schedules the next poll. `revision_lost`: discovery cannot continue from the known revision."""
         if revision_lost:
-            # Guards against going on from a revision that discovery cannot read on from.
+            # Guards against requesting again a watch from a revision that discovery no longer has.
             self.has_list = False
             if self.resumed and not self.is_watching:
-                self.poll_by = self.previous_poll_by  # it told nothing, and the list is still to be asked for
+                self.poll_by = self.previous_poll_by  # the poll brought nothing, and the list is still needed
         self.polling = False
         backoff = min(self.initial_backoff * 2**self.failures, self.backoff_limit) * (0.5 + self.random())
         self.failures = min(self.failures + 1, MAX_COUNTED_FAILURES)
         time_left = max(self.poll_by - now, MAX_OVERDUE_WAIT) * (0.7 + 0.3 * self.random())
         if now < self.fast_polls_until:
-            # Guards against waits beyond the time at which what the new address has counts as known.
+            # Guards against waits beyond the time by which the list of the new address must be known.
             time_left = min(
                 time_left, MAX_OVERDUE_WAIT * 2**self.failures / 2, self.move_allowance / MOVE_DIVISOR / 2
             )
         self.schedule_poll(now, int(min(backoff, time_left)))
 
-    # Steps.
+    # Internal steps.
 
     def start_poll(self, now: int) -> None:
-        """Begins the next poll."""
+        """Starts the next poll."""
         self.polling, self.is_watching, self.resumed = True, False, self.has_list
         self.last_progress_at, self.partial_since, self.has_input = now, None, False
         self.previous_poll_by, self.poll_by = self.poll_by, now + self.interval
@@ -172,16 +174,16 @@
         self.host.wake_at(now + self.silence_limit())
 
     def silence_limit(self) -> int:
-        """How long nothing complete may come on the poll that goes on."""
-        # Guards against a first poll at a new address that hangs until what is there counts as known.
-        hurried = self.last_progress_at < self.fast_polls_until and not self.has_list and not self.has_input
+        """Returns how long the current poll may go without a complete message."""
+        # Guards against a first poll at a new address that hangs until the list there must be known.
+        is_fast = self.last_progress_at < self.fast_polls_until and not self.has_list and not self.has_input
         return (
             min(self.silence_timeout, self.move_allowance // MOVE_DIVISOR)
-            if hurried
+            if is_fast
             else self.silence_timeout
         )
 
     def schedule_poll(self, now: int, delay: int) -> None:
-        """The next poll begins after `delay`."""
+        """Schedules the next poll after `delay`."""
         self.next_at = now + delay
         self.host.wake_at(self.next_at)
--- a/basalthoist/net/discovery/translation.py
+++ b/basalthoist/net/discovery/translation.py
@@ -1,4 +1,4 @@
-"""From entries of discovery's endpoint list to the endpoints that the decisions know."""
+"""Translates entries of discovery's endpoint list to the endpoints of the decisions."""
 
 from typing import NamedTuple
 
@@ -7,18 +7,18 @@
 from basalthoist.net.discovery.wall_clock import WallClock
 
 STATES = {"ready": "healthy", "draining": "draining", "gone": "gone"}
-STATE_OF_UNKNOWN_PHASE = "draining"  # nothing new is sent there
+STATE_OF_UNKNOWN_PHASE = "draining"  # so no new requests are sent there
 
 
 class Start(NamedTuple):
-    """When a backend started, in Unix time and where that was placed on the monotonic clock."""
+    """When a backend started: in Unix time, and converted to the monotonic clock."""
 
     unix_ms: int
     at: int
 
 
 class Translator:
-    """Turns entries into endpoints: names of zones and kinds become the numbers of the settings."""
+    """Translates entries to endpoints. Names of zones and kinds become their numbers in the settings."""
 
     def __init__(self, zones: list[str], kinds: list[str]) -> None:
         self.zones: list[str] = zones
@@ -27,7 +27,7 @@
         self.starts: dict[str, Start] = {}
 
     def translate(self, entry: ListedEndpoint, confirmed_at: int | None = None) -> Endpoint:
-        """`confirmed_at`: when what was known before was last confirmed, on the monotonic clock."""
+        """Translates one entry. `confirmed_at`: when the known list was last confirmed, monotonic."""
         return Endpoint(
             name=entry.id,
             zone=index_of(entry.locality, self.zones),
@@ -39,10 +39,10 @@
         )
 
     def started_at(self, entry: ListedEndpoint, confirmed_at: int | None) -> int | None:
-        """When a backend started, on the monotonic clock; None where discovery does not tell."""
+        """Returns when the backend started, on the monotonic clock; None if discovery does not report it."""
         if entry.up_since_ms <= 0:
             return None
-        # Guards against a wall clock that is stepped: the same start must not look like another one.
+        # Guards against a stepped wall clock: the same start must not be taken for a restart.
         start = self.starts.get(entry.id)
         if start is None or start.unix_ms != entry.up_since_ms:
             at = self.clock.to_monotonic(entry.up_since_ms, confirmed_at)
@@ -50,10 +50,10 @@
         return start.at
 
     def forget(self, name: str) -> None:
-        """A backend has left the list."""
+        """Discards the start time of a backend that has left the list."""
         self.starts.pop(name, None)
 
 
 def index_of(name: str, names: list[str]) -> int:
-    """The position of a name, or the first behind all of them where it is not there."""
+    """Returns the index of a name, or the number of names if it is not among them."""
     return names.index(name) if name in names else len(names)
--- a/basalthoist/settings_codec.py
+++ b/basalthoist/settings_codec.py
@@ -1,6 +1,6 @@
-"""Settings as a flat map with the decisions' keys and units: the one place that translates them.
+"""Translates settings to a flat map with the keys and units of the decisions.
 
-The same for the node's file and for the simulation bench's wire. Keys that are not known pass as they are.
+Used for the node's file and for the wire of the simulation bench. Unknown keys are passed on unchanged.
 """
 
 from collections.abc import Iterator
@@ -8,20 +8,20 @@
 
 TOP_LEVEL_KEYS = {"accounts": "tenants", "siblings": "nodes"}
 LOAD_REPORT_FIELDS = {"rif": "inflight", "q": "queue", "busy": "util"}
-DURATION_KEYS = frozenset(  # in microseconds where they come from
+DURATION_KEYS = frozenset(  # in microseconds in the file and on the wire
     "latency_objective overall_timeout dedup_window connect_timeout keepalive max_retry_after ask_within"
     " drain_grace grace_to_answer overload_for warm_within tick".split()
 )
-MICROSECONDS_PER_TENTH = 100  # microseconds in a tenth of a millisecond
+MICROSECONDS_PER_TENTH = 100  # per tenth of a millisecond
 
 
 def tenths(micros: int) -> int:
-    """Microseconds to tenths of a millisecond: early rather than late, never from something to nothing."""
+    """Converts microseconds to tenths of a millisecond, rounded down, but a positive time to at least 1."""
     return max(1, micros // MICROSECONDS_PER_TENTH) if micros > 0 else 0
 
 
 def parse_value(text: str) -> bool | int | float | str:
-    """The value that a text on the bench's wire stands for."""
+    """Parses a value on the wire of the simulation bench."""
     if text in ("true", "false"):
         return text == "true"
     for kind in (int, float):
@@ -33,7 +33,7 @@
 
 
 def parse_pairs(pairs: list[str]) -> dict[str, Any]:
-    """The flat map of `path=value` texts. Raises ValueError for a time that is no number."""
+    """Returns the flat map of `path=value` texts. Raises ValueError if a duration is not a number."""
     settings = {}
     for pair in pairs:
         path, _, text = pair.partition("=")
@@ -47,15 +47,17 @@
 
 
 def flatten(nested: dict) -> dict[str, Any]:
-    """The flat map of nested objects: of a list of objects, its length in .count and its items in .0, .1, ...
+    """Returns the flat map of nested objects.
 
-    Raises ValueError for a time that is no number.
+    A list of objects becomes its length under .count and its items under .0, .1, ...
+
+    Raises ValueError if a duration is not a number.
     """
     return dict(translate(path, value) for path, value in walk("", nested))
 
 
 def walk(path: str, value: Any) -> Iterator[tuple[str, Any]]:  # noqa: ANN401 - as the file has it
-    """The paths and values below a path, in the file's order."""
+    """Yields the paths and values below a path, in the order of the file."""
     if isinstance(value, dict):
         for key, inner in value.items():
             yield from walk(f"{path}.{key}" if path else key, inner)
@@ -68,7 +70,7 @@
 
 
 def translate(path: str, value: Any) -> tuple[str, Any]:  # noqa: ANN401 - as the file has it
-    """The decisions' key and value. Raises ValueError for a time that is no number."""
+    """Returns the decisions' key and value. Raises ValueError if a duration is not a number."""
     parts = path.split(".")
     parts[0] = TOP_LEVEL_KEYS.get(parts[0], parts[0])
     last = parts[-1]
