--- a/basalthoist/distribution/catalogue.py
+++ b/basalthoist/distribution/catalogue.py
@@ -94,7 +94,7 @@
     def __init__(self, version: int = 0, entries: Iterable[Entry] = ()) -> None:
         self.version = version
         self.scopes: dict[str, dict[Key, Entry]] = {}
-        self.scope_sums: dict[str, int] = {}  # of weights
+        self.scope_hash_sums: dict[str, int] = {}  # of weights
         self.scope_bytes: dict[str, int] = {}  # of encoded entries
         self.entries: dict[Key, Entry] = {}  # all but tenants
         self.tenants: dict[str, Entry] = {}
@@ -106,7 +106,7 @@
         """One that changes by itself from now on."""
         made = Catalogue(self.version)
         made.scopes = {scope: dict(entries) for scope, entries in self.scopes.items()}
-        made.scope_sums, made.scope_bytes = dict(self.scope_sums), dict(self.scope_bytes)
+        made.scope_hash_sums, made.scope_bytes = dict(self.scope_hash_sums), dict(self.scope_bytes)
         made.entries, made.tenants = dict(self.entries), dict(self.tenants)
         made.tenants_sum = self.tenants_sum
         return made
@@ -125,11 +125,11 @@
 
     def digest_of(self, scopes: Iterable[str]) -> bytes:
         """The digest of `entries_in` these scopes."""
-        return digest_bytes(sum(self.scope_sums.get(scope, 0) for scope in {"", *scopes}))
+        return digest_bytes(sum(self.scope_hash_sums.get(scope, 0) for scope in {"", *scopes}))
 
     def sum_of_scopes(self) -> int:
         """The sum of weights of all but tenants."""
-        return sum(self.scope_sums.values())
+        return sum(self.scope_hash_sums.values())
 
     def digest(self) -> bytes:
         """The digest of the whole."""
@@ -170,12 +170,14 @@
         scope = entry.scope
         del self.entries[entry.key], self.scopes[scope][entry.key]
         if not self.scopes[scope]:
-            del self.scopes[scope], self.scope_sums[scope], self.scope_bytes[scope]
+            del self.scopes[scope], self.scope_hash_sums[scope], self.scope_bytes[scope]
 
     def count(self, entry: Entry, sign: int) -> None:
         """Adds an entry to the sums of its scope, or takes it out of them."""
         data, scope = ENCODE(entry), entry.scope
-        self.scope_sums[scope] = (self.scope_sums.get(scope, 0) + sign * weigh(data)) % DIGEST_MODULUS
+        self.scope_hash_sums[scope] = (
+            self.scope_hash_sums.get(scope, 0) + sign * weigh(data)
+        ) % DIGEST_MODULUS
         self.scope_bytes[scope] = self.scope_bytes.get(scope, 0) + sign * len(data)
 
     def effective(self, entries: Iterable[Entry]) -> list[Entry]:
--- a/basalthoist/emulator/distributed.py
+++ b/basalthoist/emulator/distributed.py
@@ -673,7 +673,7 @@
         """A version that is committed at the first store."""
         if version != max(self.truth) + 1:
             raise Broken(f"version {version} follows {max(self.truth)}")
-        self.truth[version] = digest, dict(catalogue.scope_sums)
+        self.truth[version] = digest, dict(catalogue.scope_hash_sums)
         self.committed_at[version] = self.at
         self.note_tenants(catalogue)
         for call in map(tuple, self.proposals.get((version, digest), ())):
