--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -21,7 +21,7 @@
     silent,
     wait_for,
 )  # fmt: skip
-from test_shutdown import DEADLINE_S, loses_nobody_at_the_end, some_work
+from test_shutdown import DEADLINE_S, assert_shutdown_answers_all_requests, some_work
 
 QUICK = "beat_s = 0.1\nsilent_s = 0.5\nsteady_s = 0.1\ncalm_s = 0.4\n"
 
@@ -236,7 +236,7 @@
     here.start(there, settings={"routes": routes})
     try:
         wait_for(lambda: here.discovery.watches and not here.says()["hot"])
-        loses_nobody_at_the_end(here.program, signals, 0.4, "Site-Hops: 1\r\nSite-From: b\r\n")
+        assert_shutdown_answers_all_requests(here.program, signals, 0.4, "Site-Hops: 1\r\nSite-From: b\r\n")
     finally:
         here.close()
         there.close()
