--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -21,7 +21,7 @@
     silent,
     wait_for,
 )  # fmt: skip
-from test_shutdown import DEADLINE_S, assert_shutdown_answers_all_requests, some_work
+from test_shutdown import DEADLINE_S, assert_shutdown_answers_all_requests, reply_after_30_ms
 
 QUICK = "beat_s = 0.1\nsilent_s = 0.5\nsteady_s = 0.1\ncalm_s = 0.4\n"
 
@@ -232,7 +232,10 @@
 @pytest.mark.parametrize("signals", [(), (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP)])
 def test_requests_from_another_site_are_answered_before_the_earliest_kill(tmp_path, signals):
     routes = [route("read", "at_most_once", DEADLINE_S)]
-    here, there = Site(tmp_path, "a", [some_work, silent, some_work]), Site(tmp_path, "b", [reply()])
+    here, there = (
+        Site(tmp_path, "a", [reply_after_30_ms, silent, reply_after_30_ms]),
+        Site(tmp_path, "b", [reply()]),
+    )
     here.start(there, settings={"routes": routes})
     try:
         wait_for(lambda: here.discovery.watches and not here.says()["hot"])
