--- a/basalthoist/decisions/equal_time.py
+++ b/basalthoist/decisions/equal_time.py
@@ -23,9 +23,8 @@
         self.subset = subset
         self.route_bounds = route_bounds
         self.loads = loads
-        self.mean_time: float = (
-            route_bounds.objective / 3.0
-        )  # mean response time over all points of the subset
+        # The mean response time over all points of the subset.
+        self.mean_time: float = route_bounds.objective / 3.0
         self.equal_time: float = float(route_bounds.objective)
         self.total_rate: float = 1.0
         self.floor_share: float = FLOOR_FRACTION
@@ -92,7 +91,7 @@
         self.equal_time = high
 
     def approach_rates(self, solved: list[Backend], remaining: float, scale: float) -> None:
-        """Moves each rate half-way to the solved rate, which is at least the floor rate."""
+        """Moves each rate half-way to the solved rate, or to the floor rate if that is higher."""
         for backend in solved:
             even_floor = self.floor_share * remaining / len(solved)
             floor = even_floor / (1 + ZONE_COST_WEIGHT * backend.zone_cost / self.mean_time)
--- a/basalthoist/decisions/gossip.py
+++ b/basalthoist/decisions/gossip.py
@@ -17,10 +17,10 @@
 # Gossip may take this part of a node's processor time: one in 20, or one in 2 without load reports.
 CPU_DIVISOR, CPU_DIVISOR_WITHOUT_REPORTS = 20, 2
 MAX_REPORTS_PER_DATAGRAM = 4
-LISTENED_FRACTION = 0.7  # the peers that send this fraction of a zone's messages are its listeners
+LISTENED_FRACTION = 0.7  # a zone's listeners are its top senders, up to this fraction of the requests
 SENDER_COUNT_DECAY = 0.8
 MIN_SENDER_COUNT = 0.1
-QUARTERS = 4  # in-flight figures travel in quarters of a request
+QUARTERS = 4  # requests in flight are sent in quarters of a request
 
 
 class Gossip:
@@ -45,10 +45,9 @@
         self.endpoints = endpoints
         self.loads = loads
         self.probability: float = float(settings.gossips)
-        self.senders: dict[int, Counter] = defaultdict(
-            Counter
-        )  # by zone: decaying message counts of the peers
-        self.listeners: dict[int, list[int]] = {}  # by zone: the peers that send the most requests there
+        # By zone: decaying counts of the requests that each peer announces.
+        self.senders: dict[int, Counter] = defaultdict(Counter)
+        self.listeners: dict[int, list[int]] = {}  # by zone: the peers that announce the most requests
         self.fresh_reports: dict[Backend, int] = {}  # when a report came that peers do not have yet
         self.peers_by_backend: dict[Backend, list[int]] = {}
 
--- a/basalthoist/decisions/slow_start.py
+++ b/basalthoist/decisions/slow_start.py
@@ -65,8 +65,8 @@
 
     def is_idle(self, backend: "Backend", now: int) -> bool:
         """Returns whether the backend has answered recently without failures or rejections, and is idle."""
-        # Guards against one more request from each of many nodes: the backend can have answered only so many
-        # of them within the window.
+        # Guards against one more request from each of many nodes: within the window the backend can have
+        # answered only a few of them.
         answered_recently = now - backend.last_response_at < self.settings.overload_window
         is_healthy = self.settings.health_checks and answered_recently and backend.service_time_count
         is_healthy = is_healthy and not backend.consecutive_rejections and not backend.outlier.suspicion
