--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -7,7 +7,7 @@
 
 import pytest
 from helpers import Program, StandIn, member, own_address, reply, request, wait_for
-from test_discovery import Played
+from test_discovery import ScriptedDiscovery
 from test_succession import QUICK, at
 
 TIME = 5.5
@@ -16,7 +16,7 @@
 )
 
 
-class Down(Played):
+class Down(ScriptedDiscovery):
     """Discovery that says nothing, or refuses, until `come_back`."""
 
     def __init__(self, how):
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -289,10 +289,10 @@
     assert any(draws(number) for number in range(5))
 
 
-# Played on sockets: the same by the program itself.
+# ScriptedDiscovery on sockets: the same by the program itself.
 
 
-class Played(StandIn):
+class ScriptedDiscovery(StandIn):
     """Discovery: `steps` for the first calls; when it can be reached, it tells of a drain."""
 
     def __init__(self, *steps, revisions=(40, 41)):
@@ -321,7 +321,7 @@
             sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(text), text))
 
 
-class Unreached(Played):
+class Unreached(ScriptedDiscovery):
     """Nothing takes its connections at first."""
 
     def __init__(self):
@@ -404,18 +404,18 @@
 # Whether the tier is large, the revision that the node knows, discovery. "control": it was in time before.
 PLAYS = {
     "control: hangs in connecting": (False, 0, Unreached),
-    "control: reset, 404, redirect, garbage, half a list, then silence": (False, 40, lambda: Played(
+    "control: reset, 404, redirect, garbage, half a list, then silence": (False, 40, lambda: ScriptedDiscovery(
         resets, status(404), status(302, b"Location: /\r\n"), garbage, half_a_list,
         then_reached(says_nothing))),
-    "half a list byte by byte": (False, 0, lambda: Played(ENDLESS)),
-    "half a list byte by byte, large tier": (True, 0, lambda: Played(status(503), ENDLESS)),
-    "an old list byte by byte, then silence": (False, 0, lambda: Played(byte_by_byte(old(), 3.6))),
-    "an old change byte by byte, then silence": (False, 40, lambda: Played(
+    "half a list byte by byte": (False, 0, lambda: ScriptedDiscovery(ENDLESS)),
+    "half a list byte by byte, large tier": (True, 0, lambda: ScriptedDiscovery(status(503), ENDLESS)),
+    "an old list byte by byte, then silence": (False, 0, lambda: ScriptedDiscovery(byte_by_byte(old(), 3.6))),
+    "an old change byte by byte, then silence": (False, 40, lambda: ScriptedDiscovery(
         byte_by_byte(WATCH + chunk(said(41) + b"\n"), 3.6))),
-    "half a change and heartbeats": (True, 40, lambda: Played(half_a_change_and_heartbeats)),
-    "control: refused, then the revision is gone, large tier": (True, 40, lambda: Played(
+    "half a change and heartbeats": (True, 40, lambda: ScriptedDiscovery(half_a_change_and_heartbeats)),
+    "control: refused, then the revision is gone, large tier": (True, 40, lambda: ScriptedDiscovery(
         status(429), then_reached(status(503)), revisions=())),
-    "control: moved while half a list comes byte by byte, then silence": (False, 0, lambda: Played(
+    "control: moved while half a list comes byte by byte, then silence": (False, 0, lambda: ScriptedDiscovery(
         then_reached(says_nothing))),
 }  # fmt: skip
 
@@ -430,7 +430,7 @@
         more = {"settings_more": TIER if large else None, "limits": {"watch_line_s": 1.0}}
         before = first = agent
         if "moved" in name:
-            first = stack.enter_context(contextlib.closing(Played(ENDLESS)))
+            first = stack.enter_context(contextlib.closing(ScriptedDiscovery(ENDLESS)))
             before = first
         told = document(before.address, [member("s-1", one)], revision, **more)
         program = stack.enter_context(contextlib.closing(Program(folder, told)))
