--- a/basalthoist/experiments/distributed/aside.py
+++ b/basalthoist/experiments/distributed/aside.py
@@ -30,7 +30,7 @@
     def sever(self, on: bool) -> None:
         self.severed = on
         stream = self.leader_link.stream
-        if stream is not None and stream.transport is not None and not stream.is_over:
+        if stream is not None and stream.transport is not None and not stream.is_closed:
             (stream.transport.pause_reading if on else stream.transport.resume_reading)()
         self.log("cut off" if on else "let through")
 
