--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -17,7 +17,7 @@
 
 
 class Down(ScriptedDiscovery):
-    """Discovery that says nothing, or refuses, until `come_back`."""
+    """Discovery that says nothing, or refuses, until `become_reachable`."""
 
     def __init__(self, how):
         self.how = how
@@ -86,7 +86,7 @@
 
 def heard_and_served(program, agent, number):
     """From the return of discovery to the drain, by a fresh connection each time, and on for ASKED_S."""
-    agent.come_back()
+    agent.become_reachable()
     answers, ask, heard_after = [], 0, None
     while time.monotonic() - agent.reachable < (ASKED_S if heard_after is not None else 12):
         ask += 1
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -67,7 +67,7 @@
         for at in day["moves"]:
             self.after(at, self.move)
         if self.reachable is not None:
-            self.after(self.reachable, self.come_back)
+            self.after(self.reachable, self.become_reachable)
         self.schedule.on_start(0, 50 * day["known"], day["known"])
 
     def after(self, delay, act, *args):
@@ -80,7 +80,7 @@
             assert self.now < 200 * SECOND
             act(*args)
             if self.reachable is None and self.now > 100 * SECOND:
-                self.come_back()
+                self.become_reachable()
         return self.known_at - self.reachable
 
     def move(self):
@@ -88,7 +88,7 @@
             self.number += 1
             self.schedule.on_move(self.now)
 
-    def come_back(self):
+    def become_reachable(self):
         self.reachable = self.now
         if self.healthy:
             self.after(self.day["answer"], self.tell)
@@ -108,7 +108,7 @@
                 return self.on(2 * step, self.tell)
             return self.on(2 * step, self.lost if self.day["forgets"] else self.tell)
         if self.day["after"] == len(self.calls) - 1:
-            self.after(10, self.come_back)  # its answer may have begun
+            self.after(10, self.become_reachable)  # its answer may have begun
         script = self.day["calls"]
         kind, *told = script[(len(self.calls) - 1) % len(script)] if script else ("hangs",)
         getattr(self, kind)(*told)
@@ -300,7 +300,7 @@
         self.change = []
         super().__init__(type(self).answer)
 
-    def come_back(self):
+    def become_reachable(self):
         if self.reachable is None:
             self.reachable = time.monotonic()
 
@@ -336,7 +336,7 @@
         time.sleep(3.1)  # just after it was tried once more
         for sock in self.late.fillers:
             sock.close()
-        self.come_back()
+        self.become_reachable()
         self.accept()
 
 
@@ -350,7 +350,7 @@
 def then_reached(step):
     def behave(agent, sock):
         step(agent, sock)
-        agent.come_back()
+        agent.become_reachable()
 
     return behave
 
@@ -384,7 +384,7 @@
         agent.dead.append(sock)
         for number in range(len(data)):
             sock.sendall(data[number : number + 1])
-            agent.come_back()
+            agent.become_reachable()
             time.sleep(seconds / len(data))
 
     return behave
@@ -393,7 +393,7 @@
 def half_a_change_and_heartbeats(agent, sock):
     agent.dead.append(sock)
     sock.sendall(WATCH + chunk(b'{"revision": 41,\n'))
-    agent.come_back()
+    agent.become_reachable()
     while True:
         time.sleep(1)
         sock.sendall(chunk(b"\n"))
