--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -130,7 +130,8 @@
             self.schedule.on_wake(self.now)
 
     # Polls that started before discovery became reachable. Nothing new arrives on them afterwards, unless
-    # their watch still works: then it reports the change. A message that had started continues, as old as it is.
+    # their watch still works: then it reports the change. A message that had started continues, with its
+    # old content.
 
     def is_unreachable(self):
         return self.reachable is None or self.now < self.reachable
