--- a/basalthoist/decisions/outlier_detection.py
+++ b/basalthoist/decisions/outlier_detection.py
@@ -37,7 +37,7 @@
         self.ejected_until: int = 0
 
     def record(self, failed: bool, usual_failure_rate: float) -> None:
-        """Adds one outcome. An outlier fails far more often than usual, so the bar rises when all fail."""
+        """Adds one outcome. Outliers fail far more often than usual: when all fail, the test needs more."""
         self.failure_rate += (failed - self.failure_rate) * FAILURE_SMOOTHING
         self.test(failed, usual_failure_rate)
 
--- a/basalthoist/net/discovery/client.py
+++ b/basalthoist/net/discovery/client.py
@@ -92,7 +92,7 @@
             connection.fail(f"not reached: {task.exception()!r}")
 
     def give_up(self) -> None:
-        """Ends a poll on which nothing complete has come in time, and logs why."""
+        """Ends a poll on which no complete message has arrived in time, and logs why."""
         limit = f"{self.limits.watch_silent_s:.1f} s"
         if self.connection.transport is None:
             self.drop(f"not reached: no connection within {limit}")
--- a/basalthoist/net/discovery/polling.py
+++ b/basalthoist/net/discovery/polling.py
@@ -50,7 +50,7 @@
         """Opens a connection and requests the list, or the watch if `has_list` is set."""
 
     def give_up(self) -> None:
-        """Ends the poll, on which nothing complete has come in time."""
+        """Ends a poll on which no complete message has arrived in time."""
 
     def wake_at(self, at: int) -> None:
         """Calls `on_wake` at this time, instead of any time requested before."""
@@ -76,7 +76,7 @@
         self.has_list: bool = False
         self.revision: int = 0
         self.failures: int = 0
-        self.next_at: int = 0  # when the next poll starts
+        self.next_poll_at: int = 0  # when the next poll starts
         self.poll_by: int = 0  # when the next poll must start at the latest
         self.previous_poll_by: int = 0
         self.fast_polls_until: int = 0  # until then, polls at a new address have shorter timeouts and waits
@@ -111,14 +111,14 @@
     def on_wake(self, now: int) -> None:
         """Starts the next poll or gives up the current one, if it is time to."""
         if not self.polling:
-            return self.start_poll(now) if now >= self.next_at else self.host.wake_at(self.next_at)
+            return self.start_poll(now) if now >= self.next_poll_at else self.host.wake_at(self.next_poll_at)
         if now < self.last_progress_at + self.silence_limit():
             return self.host.wake_at(self.last_progress_at + self.silence_limit())
         # Guards against a poll that was cut off, hangs while connecting or never completes its response:
         # nothing else ends it.
         self.host.give_up()
         if self.is_watching:
-            self.failures = 0  # the silent time already served as the wait between two polls
+            self.failures = 0  # the silence has already served as the wait before the next poll
         self.on_failed(now)
 
     # Events of a poll.
@@ -130,7 +130,7 @@
             self.partial_since = now
 
     def on_input_complete(self, now: int) -> None:
-        """Handles the state that all data received so far was complete."""
+        """Marks the received data as complete, unless it took longer than MAX_READ_SPAN to arrive."""
         if self.partial_since is not None and now - self.partial_since <= MAX_READ_SPAN:
             self.partial_since = None
 
@@ -185,5 +185,5 @@
 
     def schedule_poll(self, now: int, delay: int) -> None:
         """Schedules the next poll after `delay`."""
-        self.next_at = now + delay
-        self.host.wake_at(self.next_at)
+        self.next_poll_at = now + delay
+        self.host.wake_at(self.next_poll_at)
