--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -77,7 +77,7 @@
     new.profile.points = [Point(2.0, 400.0, 4.0, NOW)]
     balancer.profiling.advance(NOW, new)
     assert new.profiling_stage == 2
-    assert new.profiling_rate == 8.0  # never over the fastest, however quick its first answers were
+    assert new.profiling_rate == 8.0  # at most the highest target rate, however fast the first responses were
     balancer.profiling.advance(NOW, new)
     assert new.profiling_stage == 0
 
@@ -480,12 +480,12 @@
     lines = []
     for number in range(20):
         ident, at = 100 + 3 * number, NOW + 20_000 + 10_000 * number
-        for one in range(3):
-            add_open_attempt(balancer, ident + one, at + one)
+        for offset in range(3):
+            add_open_attempt(balancer, ident + offset, at + offset)
         # Not above the threshold, so that no attempt is cancelled in the meantime.
         balancer.overtaken.loss_rate = min(balancer.overtaken.loss_rate, 0.8)
-        for one in (1, 2):
-            complete(balancer, ident + one, at + 100)
+        for offset in (1, 2):
+            complete(balancer, ident + offset, at + 100)
         balancer.on_client_gone(at + 7900, ident)
         balancer.on_attempt_ended(at + 7900, ident, 0, outcome, 7900, True, None)
         lines += host.take("log")
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -23,8 +23,8 @@
 SMALL, LARGE = 0, 96 * SECOND  # slot cycle of a tier: none, and for 200 nodes that each request 60 lines
 
 
-def tenths(least, most):
-    return st.integers(int(least * SECOND), int(most * SECOND))
+def tenths(min_s, max_s):
+    return st.integers(int(min_s * SECOND), int(max_s * SECOND))
 
 
 # The behaviour of a watch: its kind, a time, the number of heartbeats, and what follows them.
@@ -227,9 +227,9 @@
 class WithoutDeadline(PollSchedule):
     """Broken: the waits double without regard to the deadline of the next poll."""
 
-    def on_failed(self, now, lost=False):
+    def on_failed(self, now, revision_lost=False):
         self.poll_by = 1 << 60
-        super().on_failed(now, lost)
+        super().on_failed(now, revision_lost)
 
 
 class CountsEveryByte(PollSchedule):
@@ -259,9 +259,9 @@
 class DelaysListAfterLostRevision(PollSchedule):
     """Broken: after a refused watch, the list is requested only after an ordinary wait."""
 
-    def on_failed(self, now, lost=False):
+    def on_failed(self, now, revision_lost=False):
         self.previous_poll_by = self.poll_by
-        super().on_failed(now, lost)
+        super().on_failed(now, revision_lost)
 
 
 class NeverGivesUp(PollSchedule):
@@ -440,14 +440,16 @@
     large, revision, make_agent = SOCKET_SCENARIOS[name]
     with contextlib.ExitStack() as stack:
         agent = stack.enter_context(contextlib.closing(make_agent()))
-        one, other = (stack.enter_context(contextlib.closing(StandIn(reply(200, b)))) for b in (b"1", b"2"))
-        agent.change = [member("s-1", one, "draining"), member("s-2", other)]
+        backend, new_backend = (
+            stack.enter_context(contextlib.closing(StandIn(reply(200, b)))) for b in (b"1", b"2")
+        )
+        agent.change = [member("s-1", backend, "draining"), member("s-2", new_backend)]
         more = {"settings_more": LARGE_TIER if large else None, "limits": {"watch_line_s": 1.0}}
         before = first = agent
         if "moved" in name:
             first = stack.enter_context(contextlib.closing(ScriptedDiscovery(ENDLESS_LIST)))
             before = first
-        configuration = document(before.address, [member("s-1", one)], revision, **more)
+        configuration = document(before.address, [member("s-1", backend)], revision, **more)
         program = stack.enter_context(contextlib.closing(Program(folder, configuration)))
         program.wait_ready()
         if first is not agent:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -166,15 +166,15 @@
 
 
 @pytest.mark.parametrize(
-    ("nodes", "price", "least", "most"),
+    ("nodes", "price", "min_sent", "max_sent"),
     [(40, 0.01, 200, 200), (500, 0.01, 5, 60), (40, 1.0, 0, 10)],
 )
-def test_gossip_stays_within_its_budget_at_any_fleet_size(nodes, price, least, most):
+def test_gossip_stays_within_its_budget_at_any_fleet_size(nodes, price, min_sent, max_sent):
     balancer, host = gossiping_node("a", "b", nodes=nodes, prices__peer=price)
     for ident in range(200):
         balancer.on_request(NOW, ident, 0, 0, 8000, False)
         balancer.on_attempt_ended(NOW, ident, 0, Outcome.COMPLETED, 10, True, None)
-    assert least <= len(host.take("gossip")) <= most
+    assert min_sent <= len(host.take("gossip")) <= max_sent
 
 
 def test_messages_with_unknown_keys_are_ignored():
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -185,10 +185,10 @@
 
 
 @pytest.mark.parametrize(
-    ("missed", "least", "most"),  # fraction of requests in quota; bounds on the mean admitted fraction
+    ("missed", "min_mean", "max_mean"),  # fraction of requests in quota; bounds on the mean admitted fraction
     [(0.0, 1.0, 1.0), (0.05, 0.9, 1.0), (0.1, 0.6, 1.0), (0.35, 0.0, 0.1), (1.0, 0.0, 0.02)],
 )
-def test_admitted_surplus_falls_with_the_rate_of_misses(missed, least, most):
+def test_admitted_surplus_falls_with_the_rate_of_misses(missed, min_mean, max_mean):
     """The node gets ten requests per second: with hundreds of nodes, that is a busy one."""
     balancer, _ = node([listed("a")])
     rng, admitted, at = Lcg(5), [], NOW
@@ -200,7 +200,7 @@
         if rng.uniform() < missed:
             balancer.shed_or_fail(at, request)
         admitted.append(max(balancer.surplus.admitted_fraction, 0.0))
-    assert least <= sum(admitted[200:]) / 1000 <= most
+    assert min_mean <= sum(admitted[200:]) / 1000 <= max_mean
     for number in range(2000, 2070):  # seven seconds after the last miss all surplus is admitted
         balancer.on_request(at, number, 0, 0, 8000, False)
     assert balancer.surplus.admitted_fraction == 1.0
