--- a/basalthoist/fleet/outlier_reports.py
+++ b/basalthoist/fleet/outlier_reports.py
@@ -35,7 +35,7 @@
     outlier: OutlierState
 
 
-def claimed_outliers(backends: Iterable[ReportedBackend], now: int) -> list[str]:
+def outliers_to_report(backends: Iterable[ReportedBackend], now: int) -> list[str]:
     """The backends that this node has ejected for its own failed attempts, and not trusted since.
 
     `now` is in tenths of a millisecond of the clock by which the backends are judged.
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -12,7 +12,7 @@
 from basalthoist.fleet import lease, replica
 from basalthoist.fleet.bounds import DISTANT_PAST, Bounds
 from basalthoist.fleet.leader import Leader
-from basalthoist.fleet.outlier_reports import claimed_outliers
+from basalthoist.fleet.outlier_reports import outliers_to_report
 from basalthoist.fleet.replica import Replica, Role
 from basalthoist.fleet.verdicts import SnapshotFetch, Verdict, VerdictSet
 from basalthoist.fleet.wire import (
@@ -438,12 +438,12 @@
     ],
 )
 def test_a_node_claims_outliers_that_it_has_met_itself(seen, counts):
-    assert claimed_outliers([seen], 100_000) == (["a"] if counts else [])
+    assert outliers_to_report([seen], 100_000) == (["a"] if counts else [])
 
 
 def test_no_more_is_claimed_than_one_datagram_holds():
     many = [Seen(f"s-{i:037d}", 0.4 + i / 1000, 110_000) for i in range(100)]
-    assert len(claimed_outliers(many, 100_000)) == 16
-    outliers = claimed_outliers(many, 100_000)
+    assert len(outliers_to_report(many, 100_000)) == 16
+    outliers = outliers_to_report(many, 100_000)
     reply = HeartbeatReply(1 << 60, 1 << 60, 1 << 60, 1 << 60, 1 << 60, True, True, outliers)
     encode(b"k" * 16, Envelope("n" * 60, 1 << 62, "m" * 60, 1 << 62, reply))
