--- a/basalthoist/emulator/storms.py
+++ b/basalthoist/emulator/storms.py
@@ -37,7 +37,7 @@
 Delay = tuple[int, int]  # of a message: the least and the most
 
 
-class Storm:
+class DistributionFaultInjector:
     """Faults by chance. Memory and disk are lost together by a minority of the voters at most, at once."""
 
     def __init__(self, world: Distributed, faults: int, call_chance: float = 0.5, gap: float = 0.0) -> None:
@@ -192,12 +192,14 @@
         return replica is not None and replica.voter.intact and machine.alive and own >= latest
 
 
-def storm(seed: int, faults: int, gap: float = 0.0, make: dict[str, type] | None = None) -> Storm:
+def storm(
+    seed: int, faults: int, gap: float = 0.0, make: dict[str, type] | None = None
+) -> DistributionFaultInjector:
     """One that has run. Raises Broken."""
     world = Distributed(12, (3, 5)[seed % 2], 2, seed, SHORT, REGISTER, make=make)
     for number, node in enumerate(world.nodes.values()):
         node.looked_up = [f"t{number % TENANTS}", f"t{(number + 5) % TENANTS}"]
-    made = Storm(world, faults, gap=gap)
+    made = DistributionFaultInjector(world, faults, gap=gap)
     made.run()
     return made
 
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -31,7 +31,7 @@
 from basalthoist.emulator import costs
 from basalthoist.emulator.distributed import Distributed, route, tenant
 from basalthoist.emulator.replicas import Broken
-from basalthoist.emulator.storms import REGISTER, SHORT, Storm, storm
+from basalthoist.emulator.storms import REGISTER, SHORT, DistributionFaultInjector, storm
 
 LEASE = REGISTER.lease
 
@@ -242,7 +242,7 @@
     world = Distributed(8, 3, 2, seed, SHORT, REGISTER)
     for number, node in enumerate(world.nodes.values()):
         node.looked_up = [f"t{number}"]
-    made = Storm(world, 0)
+    made = DistributionFaultInjector(world, 0)
     world.run(3 * LEASE)
     made.call()
     for kind, name, lasts, gap, called in faults:
