--- a/basalthoist/emulator/distributed.py
+++ b/basalthoist/emulator/distributed.py
@@ -712,7 +712,7 @@
         versions = {subscriber.version for subscriber in able}
         if not leader or versions != {latest} or len(able) < len(self.nodes):
             found = f"author {leader!r}, {len(able)} nodes, {sorted(versions)} of {latest}"
-            raise Broken(f"no peace after the storm: {found}")
+            raise Broken(f"no peace after the run_random_faults: {found}")
         names = next(iter(self.machines.values())).store.catalogue.tenants
         for subscriber in able:
             at, tenants = subscriber.connection.heartbeat_at, subscriber.tenants
--- a/basalthoist/emulator/storms.py
+++ b/basalthoist/emulator/storms.py
@@ -192,7 +192,7 @@
         return replica is not None and replica.voter.intact and machine.alive and own >= latest
 
 
-def storm(
+def run_random_faults(
     seed: int, faults: int, gap: float = 0.0, make: dict[str, type] | None = None
 ) -> DistributionFaultInjector:
     """One that has run. Raises Broken."""
@@ -209,7 +209,7 @@
     broken, versions = 0, 0
     for seed in range(first, last):
         try:
-            versions += max(storm(seed, faults).world.truth)
+            versions += max(run_random_faults(seed, faults).world.truth)
         except Broken as error:
             broken += 1
             print(f"seed {seed}: {error}", flush=True)
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -31,7 +31,7 @@
 from basalthoist.emulator import costs
 from basalthoist.emulator.distributed import Distributed, route, tenant
 from basalthoist.emulator.replicas import Broken
-from basalthoist.emulator.storms import REGISTER, SHORT, DistributionFaultInjector, storm
+from basalthoist.emulator.storms import REGISTER, SHORT, DistributionFaultInjector, run_random_faults
 
 LEASE = REGISTER.lease
 
@@ -224,7 +224,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_storms(seed):
-    storm(seed, 15, (0.7, 2.0)[seed // 2 % 2])
+    run_random_faults(seed, 15, (0.7, 2.0)[seed // 2 % 2])
 
 
 FAULTS = st.tuples(
