--- a/basalthoist/gossip_codec.py
+++ b/basalthoist/gossip_codec.py
@@ -1,37 +1,41 @@
-"""Gossip between nodes as bytes: the one codec, for sockets and for the simulation bench.
+"""Codec of the gossip between nodes, for sockets and for the simulation bench.
 
-A byte with the version, then three bytes a message: the backend's key in two, and the requests in flight
-there in quarters, of which the three highest values stand for the kinds of message without such a figure.
+A datagram is one byte with the version, then three bytes per message: the backend's key in two bytes, and
+one byte with the requests in flight in quarters. The three highest values of that byte encode the kinds of
+message that have no such number.
 """
 
 from .decisions.interface import GossipKind, GossipMessage
 
 VERSION = 1
-MOST_BYTES = 256
+MAX_DATAGRAM_BYTES = 256
 MESSAGE_BYTES = 3
-MOST_IN_FLIGHT = 252  # quarters of a request
-MARKS = {GossipKind.ANSWERED: 253, GossipKind.SENT: 254, GossipKind.EJECTED: 255}
-KINDS = {mark: kind for kind, mark in MARKS.items()}
+MAX_IN_FLIGHT_QUARTERS = 252
+KIND_CODES = {GossipKind.ANSWERED: 253, GossipKind.SENT: 254, GossipKind.EJECTED: 255}
+KINDS_BY_CODE = {code: kind for kind, code in KIND_CODES.items()}
 
 
 def encode(messages: list[GossipMessage]) -> bytes:
-    """As many of `messages`, from the first on, as one datagram holds."""
+    """Encodes as many of `messages`, from the first on, as fit into one datagram."""
     data = bytearray((VERSION,))
-    for kind, key, quarters in messages[: (MOST_BYTES - 1) // MESSAGE_BYTES]:
-        mark = MARKS.get(kind, min(max(quarters, 0), MOST_IN_FLIGHT))
-        data += bytes((key >> 8, key & 255, mark))
+    for kind, key, quarters in messages[: (MAX_DATAGRAM_BYTES - 1) // MESSAGE_BYTES]:
+        code = KIND_CODES.get(kind, min(max(quarters, 0), MAX_IN_FLIGHT_QUARTERS))
+        data += bytes((key >> 8, key & 255, code))
     return bytes(data)
 
 
 def decode(data: bytes) -> list[GossipMessage]:
-    """Raises ValueError for what no node of this version has written."""
-    if not data or data[0] != VERSION or len(data) % MESSAGE_BYTES != 1 or len(data) > MOST_BYTES:
-        raise ValueError("not of this version or length")
-    return [message_at(data, at) for at in range(1, len(data), MESSAGE_BYTES)]
-
-
-def message_at(data: bytes, at: int) -> GossipMessage:
-    """The message of which the first byte is at `at`."""
-    key, mark = data[at] << 8 | data[at + 1], data[at + 2]
-    kind = KINDS.get(mark, GossipKind.IN_FLIGHT)
-    return GossipMessage(kind, key, mark if kind == GossipKind.IN_FLIGHT else 0)
+    """Decodes a datagram. Raises ValueError if its version or its length is wrong."""
+    if not data or data[0] != VERSION or len(data) % MESSAGE_BYTES != 1 or len(data) > MAX_DATAGRAM_BYTES:
+        raise ValueError(
+            f"expected version {VERSION} and {MESSAGE_BYTES} bytes per message,"
+            f" at most {MAX_DATAGRAM_BYTES} bytes in all; got {len(data)} bytes that start with {data[:1]!r}"
+        )
+    return [decode_message(data, at) for at in range(1, len(data), MESSAGE_BYTES)]
+
+
+def decode_message(data: bytes, at: int) -> GossipMessage:
+    """Decodes the message that starts at offset `at`."""
+    key, code = data[at] << 8 | data[at + 1], data[at + 2]
+    kind = KINDS_BY_CODE.get(code, GossipKind.IN_FLIGHT)
+    return GossipMessage(kind, key, code if kind == GossipKind.IN_FLIGHT else 0)
