--- a/basalthoist/distribution/bounds.py
+++ b/basalthoist/distribution/bounds.py
@@ -4,7 +4,7 @@
 from hashlib import blake2b
 from typing import NamedTuple
 
-LONG_AGO = -(1 << 60)
+DISTANT_PAST = -(1 << 60)
 UNCONFIRMED_AGE = 1 << 40  # of a view that was never confirmed; no other gets as old
 
 
@@ -74,4 +74,4 @@
 
     def until(self) -> int:
         """When the last confirmation ends."""
-        return self.confirmed[-1][1] if self.confirmed else LONG_AGO
+        return self.confirmed[-1][1] if self.confirmed else DISTANT_PAST
--- a/basalthoist/distribution/leader_session.py
+++ b/basalthoist/distribution/leader_session.py
@@ -4,7 +4,7 @@
 
 from basalthoist.decisions.random_numbers import Lcg
 
-from .bounds import LONG_AGO, UNCONFIRMED_AGE, Bounds
+from .bounds import DISTANT_PAST, UNCONFIRMED_AGE, Bounds
 from .catalogue import Entry
 from .peer_connection import ConnectionHost, PeerConnection
 from .sessions import RelayState
@@ -51,7 +51,7 @@
     def __init__(self, entries: list[Entry], deadline: int) -> None:
         self.entries = entries
         self.deadline = deadline
-        self.sent_at = LONG_AGO
+        self.sent_at = DISTANT_PAST
 
 
 class LeaderSession:
@@ -77,7 +77,7 @@
         self.bounds = bounds
         self.store = store
         self.connection = PeerConnection(host, bounds, random, now)
-        self.confirmed_at = LONG_AGO  # the view here is as if it had been confirmed just then
+        self.confirmed_at = DISTANT_PAST  # the view here is as if it had been confirmed just then
         self.leader = ""  # the address that a voter named
         self.next_voter = int(random.uniform() * len(voters))
         self.max_sessions = 0  # that the leader allows the relay here; 0: as many as come
@@ -114,7 +114,7 @@
             store.digest,
             oldest_version=min(relay.oldest_version, store.version),
             nodes=relay.nodes,
-            nodes_out=relay.nodes_out,
+            inactive_nodes=relay.inactive_nodes,
             pending_version=store.pending_version,
             term=store.term,
             redirected_nodes=relay.redirected_nodes,
@@ -124,7 +124,7 @@
     def leave(self, now: int) -> None:
         """Another voter is tried."""
         self.host.close()
-        self.on_lost(now)
+        self.on_disconnected(now)
 
     def on_connected(self, now: int) -> None:
         """The connection is open; the session is not accepted yet."""
@@ -132,7 +132,7 @@
         own = self.name, self.incarnation, "relay", self.region
         self.host.send(HandshakeRequest(*own, [], self.store.version, self.store.digest))
 
-    def on_lost(self, now: int) -> None:
+    def on_disconnected(self, now: int) -> None:
         """The connection has ended, or none came about."""
         self.next_voter += 1
         self.connection.lost(now)
@@ -244,7 +244,7 @@
     def pass_on(self, now: int, call_id: int, again: bool = False) -> None:
         """To the leader, once in a heartbeat's interval until there is an answer."""
         call = self.calls[call_id]
-        if self.connection.is_up and (again or now - call.sent_at >= self.bounds.heartbeat):
+        if self.connection.is_established and (again or now - call.sent_at >= self.bounds.heartbeat):
             call.sent_at = now
             self.host.send(OperatorCall(call_id, call.entries, max(call.deadline - now, 0)))
 
--- a/basalthoist/distribution/peer_connection.py
+++ b/basalthoist/distribution/peer_connection.py
@@ -4,7 +4,7 @@
 
 from basalthoist.decisions.random_numbers import Lcg
 
-from .bounds import LONG_AGO, Bounds
+from .bounds import DISTANT_PAST, Bounds
 from .wire import EncodedMessage, Heartbeat, Message, ResyncRequest
 
 MAX_DOUBLINGS = 10  # of the backoff
@@ -31,12 +31,12 @@
         self.bounds = bounds
         self.random = random
         self.address = ""  # of the peer, from the attempt on
-        self.is_up = False  # the peer has accepted the session
+        self.is_established = False  # the peer has accepted the session
         self.failures = 0  # in a row
         self.next_attempt_at = now
         self.heard_at = now
-        self.heartbeat_at = LONG_AGO
-        self.resync_at = LONG_AGO
+        self.heartbeat_at = DISTANT_PAST
+        self.resync_at = DISTANT_PAST
 
     def may_open(self, now: int) -> bool:
         """Whether there is none, and the backoff is over."""
@@ -49,7 +49,7 @@
 
     def accepted(self) -> None:
         """The peer has accepted the session."""
-        self.is_up, self.failures = True, 0
+        self.is_established, self.failures = True, 0
 
     def is_silent(self, now: int) -> bool:
         """Guards against a peer that stands still, or is cut off without an end to its connection."""
@@ -57,7 +57,7 @@
 
     def is_heartbeat_due(self, now: int) -> bool:
         """Whether the last one was long ago."""
-        return self.is_up and now - self.heartbeat_at >= self.bounds.heartbeat
+        return self.is_established and now - self.heartbeat_at >= self.bounds.heartbeat
 
     def send_heartbeat(self, heartbeat: Heartbeat) -> None:
         """The next one is due an interval later."""
@@ -72,7 +72,7 @@
 
     def lost(self, now: int) -> None:
         """It has ended, or none came about. The wait has full jitter (Brooker 2015) and a bound."""
-        self.is_up, self.address = False, ""
+        self.is_established, self.address = False, ""
         longest = min(self.bounds.backoff << min(self.failures, MAX_DOUBLINGS), self.bounds.max_backoff)
         self.failures += 1
         self.next_attempt_at = now + int(longest * self.random.uniform())
--- a/basalthoist/distribution/publisher.py
+++ b/basalthoist/distribution/publisher.py
@@ -94,7 +94,7 @@
         self.pending_version = -1
         self.term = 0  # of the pending change
         self.nodes = 0
-        self.nodes_out = 0
+        self.inactive_nodes = 0
         self.redirected_nodes = 0
 
     def on_heartbeat(self, now: int, message: Heartbeat) -> None:
@@ -104,7 +104,7 @@
         self.pending_version = message.pending_version
         self.term = message.term
         self.nodes = message.nodes
-        self.nodes_out = message.nodes_out
+        self.inactive_nodes = message.inactive_nodes
         self.redirected_nodes = message.redirected_nodes
         self.views.acknowledge(message.oldest_version)
 
@@ -327,7 +327,7 @@
 
     def max_sessions(self) -> int:
         """How many each relay may have: its even part and some more."""
-        nodes = sum(one.nodes + one.nodes_out + one.redirected_nodes for one in self.followers.values())
+        nodes = sum(one.nodes + one.inactive_nodes + one.redirected_nodes for one in self.followers.values())
         even_part = int(self.bounds.load_factor * nodes / max(len(self.followers), 1)) + 1
         return max(even_part, self.bounds.min_sessions)
 
@@ -481,11 +481,14 @@
     def in_force(self, version: int) -> str:
         """Nobody may act on an older version, or none that is in touch does."""
         followers = self.followers.values()
-        nodes, nodes_out = sum(one.nodes for one in followers), sum(one.nodes_out for one in followers)
+        nodes, inactive_nodes = (
+            sum(one.nodes for one in followers),
+            sum(one.inactive_nodes for one in followers),
+        )
         where = f"{nodes} nodes in touch by {len(followers)} relays"
         if not self.bounds.strict:
             return f"SUCCESS version {version} in force at {where}; others serve on by older ones"
-        return f"SUCCESS version {version} in force at {where}, {nodes_out} shut out"
+        return f"SUCCESS version {version} in force at {where}, {inactive_nodes} shut out"
 
     @staticmethod
     def not_in_force(version: int, confirmers: dict[str, int]) -> str:
@@ -501,7 +504,7 @@
     def status(self) -> str:
         """Of the catalogue and each relay, as operators read it."""
         followers = sorted(self.followers.values(), key=lambda one: one.name)
-        rows = [f"{one.name} {one.version} {one.nodes} nodes {one.nodes_out} out" for one in followers]
+        rows = [f"{one.name} {one.version} {one.nodes} nodes {one.inactive_nodes} out" for one in followers]
         head, catalogue = f"author {self.name} ballot {self.term}", self.store.catalogue
         size = f"{len(catalogue.entries)} entries {len(catalogue.tenants)} tenants"
         return f"{head} version {self.store.version} {size}: {', '.join(rows)}"
--- a/basalthoist/distribution/relay.py
+++ b/basalthoist/distribution/relay.py
@@ -37,7 +37,7 @@
     def max_sessions(self) -> int:
         """As the leader allows here; 0: as many as come."""
 
-    def on_all_current(self, now: int) -> None:
+    def on_all_nodes_current(self, now: int) -> None:
         """Nobody here may act on an older version any more."""
 
 
@@ -121,8 +121,8 @@
         nodes = sum(session.views.oldest(now) is not None for session in self.sessions.values())
         since = now - self.bounds.heartbeat
         self.redirected_at = {name: at for name, at in self.redirected_at.items() if at > since}
-        nodes_out = len(self.sessions) - nodes
-        return RelayState(self.oldest_version(now), nodes, nodes_out, len(self.redirected_at))
+        inactive_nodes = len(self.sessions) - nodes
+        return RelayState(self.oldest_version(now), nodes, inactive_nodes, len(self.redirected_at))
 
     # Sessions.
 
@@ -244,7 +244,7 @@
         if session.number in self.behind and session.acting_version >= self.store.version:
             self.behind.discard(session.number)
             if not self.behind and not self.lost_views:
-                self.host.on_all_current(now)
+                self.host.on_all_nodes_current(now)
 
     def confirm(self, now: int, session: NodeSession, message: Heartbeat) -> None:
         """As old as the view here. It has effect only at a node that is at just this version."""
@@ -296,7 +296,7 @@
                 self.send(session, TenantUpdate(self.store.version, tenants[number]))
             self.bring_up_to_date(now, session)
         if not self.behind:
-            self.host.on_all_current(now)
+            self.host.on_all_nodes_current(now)
 
     def on_tick(self, now: int) -> None:
         """Guards against sessions whose peer has gone without a message."""
--- a/basalthoist/distribution/sessions.py
+++ b/basalthoist/distribution/sessions.py
@@ -24,7 +24,7 @@
 
     oldest_version: int  # that anybody may act on by what was confirmed there
     nodes: int  # whose view lets them act
-    nodes_out: int  # that may not act
+    inactive_nodes: int  # that may not act
     redirected_nodes: int  # within the last heartbeat's interval
 
 
--- a/basalthoist/distribution/subscriber.py
+++ b/basalthoist/distribution/subscriber.py
@@ -4,7 +4,7 @@
 
 from basalthoist.decisions.random_numbers import Lcg
 
-from .bounds import LONG_AGO, UNCONFIRMED_AGE, Bounds, rank
+from .bounds import DISTANT_PAST, UNCONFIRMED_AGE, Bounds, rank
 from .catalogue import TENANT, Catalogue, Entry, digest_bytes
 from .peer_connection import ConnectionHost, PeerConnection
 from .tenants import TenantCache
@@ -69,7 +69,7 @@
         self.random = random
         self.catalogue = hint or Catalogue(-1)
         self.connection = PeerConnection(host, bounds, random, now)
-        self.confirmed_at = LONG_AGO  # the view is as if the leader had confirmed it just then
+        self.confirmed_at = DISTANT_PAST  # the view is as if the leader had confirmed it just then
         self.tenants = TenantCache(self, bounds)
         self.acting_version = self.version  # with the tenants that are cached, as of it
         self.knows_tenants = False  # the filter of their names has come
@@ -98,10 +98,10 @@
         """In tenths of a millisecond: the version here was the latest at some moment within it."""
         return min(now - self.confirmed_at, UNCONFIRMED_AGE)
 
-    def may_act(self, now: int) -> bool:
+    def may_forward_requests(self, now: int) -> bool:
         """Whether the node may act on what is here."""
         if not self.bounds.strict:
-            return self.has_hint or self.confirmed_at != LONG_AGO
+            return self.has_hint or self.confirmed_at != DISTANT_PAST
         return self.age(now) <= self.bounds.stale
 
     # Which relay.
@@ -135,9 +135,9 @@
     def disconnect(self, now: int) -> None:
         """Ends the connection from here."""
         self.host.close()
-        self.on_lost(now)
+        self.on_disconnected(now)
 
-    def on_lost(self, now: int) -> None:
+    def on_disconnected(self, now: int) -> None:
         """The connection has ended, or none came about."""
         if self.connection.address:
             self.avoided.setdefault(self.connection.address, now + self.bounds.max_backoff)
@@ -169,9 +169,9 @@
             connection.open(now, self.choose_relay(now))
         elif connection.address and connection.is_silent(now):
             self.leave(now, "silent")
-        elif connection.is_up and not self.keep_session(now):
+        elif connection.is_established and not self.keep_session(now):
             return
-        self.tenants.on_tick(now, connection.is_up)
+        self.tenants.on_tick(now, connection.is_established)
 
     def keep_session(self, now: int) -> bool:
         """Sends a heartbeat if it is due; False where the relay is looked at instead, and perhaps left."""
--- a/basalthoist/distribution/wire.py
+++ b/basalthoist/distribution/wire.py
@@ -101,7 +101,7 @@
     digest: bytes
     oldest_version: int = -1
     nodes: int = 0  # connected here, with a view that lets them act
-    nodes_out: int = 0  # connected here, and may not act until they are up to date
+    inactive_nodes: int = 0  # connected here, and may not act until they are up to date
     pending_version: int = -1  # of the change in the store that may not be committed yet
     term: int = 0  # in which that change was proposed
     redirected_nodes: int = 0  # sent on lately because there are enough here
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -361,7 +361,7 @@
 class Unbounded(subscriber.Subscriber):
     """It never asks for how long it has been out of touch."""
 
-    def may_act(self, now):
+    def may_forward_requests(self, now):
         return self.confirmed_at > 0
 
 
@@ -492,7 +492,7 @@
         world.run(world.at + 1_000)
         now = {name: machine.bytes_out for name, machine in world.machines.items()}
         most, before = max(most, *(now[name] - before[name] for name in now)), now
-        if ready is None and all(node.subscriber.may_act(node.now()) for node in zone):
+        if ready is None and all(node.subscriber.may_forward_requests(node.now()) for node in zone):
             ready = world.at - at
     assert ready is not None and ready <= 30_000
     assert most <= 20_000  # in 0.1 s: half a second's snapshots at once, then as they are paced, and touches
@@ -509,7 +509,7 @@
         "end_session": lambda self, number, why: sent.append((number, why)),
         "unsent_bytes": lambda self, number: 0,
         "max_sessions": lambda self: 0, "age": lambda self, now: 0, "log": lambda self, line: None,
-        "on_all_current": lambda self, now: None})()  # fmt: skip
+        "on_all_nodes_current": lambda self, now: None})()  # fmt: skip
     now, message = machine.now(), HandshakeRequest(old.name, old.incarnation - 1, "node", "z1", [], -1, b"")
     machine.relay.on_handshake(now, 1_000_001, message)
     assert sent == [(1_000_001, "Redirect"), (1_000_001, "a later incarnation of it is connected")]
@@ -529,19 +529,19 @@
     world.isolate("b1")
     calls(world, "r0", 10, 30, 1_000)
     made, now = node.subscriber, node.now()
-    assert made.may_act(now) and made.version == 1 and made.age(now) > 20_000
+    assert made.may_forward_requests(now) and made.version == 1 and made.age(now) > 20_000
     assert world.answers[10].startswith("SUCCESS version 2 in force at 11 nodes in touch")
     assert world.answers[10].endswith("others serve on by older ones")
     fresh = subscriber.Subscriber(
         Recorder(), "b9", 1, "", ["a"], ["a:1"], world.distribution_bounds, Lcg(1), 0
     )
-    assert not fresh.may_act(1)  # it knows nothing yet
+    assert not fresh.may_forward_requests(1)  # it knows nothing yet
     hint = Catalogue(3, [route("x", "a")])
     host = Recorder()
     made = subscriber.Subscriber(
         host, "b9", 1, "", ["a"], ["a:1"], world.distribution_bounds, Lcg(1), 0, hint
     )
-    assert made.may_act(1) and host.done[0] == ("apply_entries", hint.all_entries(), 3)
+    assert made.may_forward_requests(1) and host.done[0] == ("apply_entries", hint.all_entries(), 3)
 
 
 def test_only_so_many_calls_are_under_way_and_each_is_answered():
@@ -885,13 +885,15 @@
     node.on_message(4, TenantUpdate(3, [tenant("t1", 0), tenant("t2", 0)]))  # it is behind
     node.on_message(5, TenantUpdate(4, [tenant("t1", 2)]))  # and catches up, of which this is a part
     node.on_message(6, HeartbeatReply(3, 4, node.digest(), 0))
-    assert not node.may_act(7) and host.done[-2][-1].requested == ["t1", "t2"]
+    assert not node.may_forward_requests(7) and host.done[-2][-1].requested == ["t1", "t2"]
     node.on_message(6, HeartbeatReply(4, 4, node.digest(), 0))  # to a heartbeat from before it asked again
-    assert not node.may_act(7)
+    assert not node.may_forward_requests(7)
     node.on_message(7, TenantUpdate(4, [tenant("t1", 2), tenant("t2", 2)]))
     node.on_message(8, HeartbeatReply(6, 4, node.digest(), 0))
     assert (
-        node.may_act(8) and node.age(8) == 2 and node.tenants.look_up(9, "t2") == (True, {"quota_per_s": 2})
+        node.may_forward_requests(8)
+        and node.age(8) == 2
+        and node.tenants.look_up(9, "t2") == (True, {"quota_per_s": 2})
     )
 
 
