--- a/basalthoist/distribution/__init__.py
+++ b/basalthoist/distribution/__init__.py
@@ -1,1 +1,4 @@
-"""Configuration in versions, scoped, in deltas, by relays. Decides without I/O; docs/distribution.md."""
+"""Distributes versioned configuration from the leader through relays to the nodes, as deltas by scope.
+
+The modules do no I/O. docs/distribution.md describes the protocol.
+"""
--- a/basalthoist/distribution/bounds.py
+++ b/basalthoist/distribution/bounds.py
@@ -1,77 +1,83 @@
-"""The settings of the distribution, in tenths of a millisecond and bytes, and what follows from them."""
+"""Settings of the configuration distribution, and the confirmed views that depend on them.
+
+Times are in tenths of a millisecond, sizes in bytes.
+"""
 
 from collections import deque
 from hashlib import blake2b
 from typing import NamedTuple
 
 DISTANT_PAST = -(1 << 60)
-UNCONFIRMED_AGE = 1 << 40  # of a view that was never confirmed; no other gets as old
+UNCONFIRMED_AGE = 1 << 40  # the age of a view that was never confirmed; confirmed views never get as old
 
 
 def rank(node: str, address: str) -> bytes:
-    """Sorts relays into an order of each node's own, which changes little as relays come and go."""
+    """Returns a sort key for relays: each node gets its own order, which changes little as relays come and go.
+
+    Sorting by this key is rendezvous hashing.
+    """
     return blake2b(f"{node}\0{address}".encode(), digest_size=8).digest()
 
 
 class Bounds(NamedTuple):
-    """Times are in tenths of a millisecond."""
-
-    heartbeat: int = 10_000  # between two heartbeats
-    fresh: int = 25_000  # a relay whose view stays older is left
-    stale: int = 40_000  # at this age at the latest a node knows that its view is stale
-    silent: int = 20_000  # a connection on which nothing comes for as long is left
-    drift: float = 0.001  # of a clock's rate, at most
-    strict: bool = True  # a node whose view is stale stands by
-    call_timeout: int = 60_000  # how long an operator's call is tried
-    batch_interval: int = 1_000  # between two changes; what comes meanwhile goes together
-    backoff: int = 1_000  # before another relay is tried, at most; it doubles with failures
+    """Settings of the distribution. Times are in tenths of a millisecond."""
+
+    heartbeat: int = 10_000  # the interval between two heartbeats
+    fresh: int = 25_000  # a node leaves a relay whose view stays older than this
+    stale: int = 40_000  # a view older than this is stale
+    silent: int = 20_000  # a connection that receives nothing for this time is closed
+    drift: float = 0.001  # the largest relative error of a clock's rate
+    strict: bool = True  # a node whose view is stale goes to standby
+    call_timeout: int = 60_000  # how long an operator's call is retried
+    batch_interval: int = 1_000  # between two changes; calls that arrive meanwhile are batched into one
+    backoff: int = 1_000  # the longest wait before the first reconnection; doubles with each failure
     max_backoff: int = 15_000
-    preferred_relay_interval: int = 600_000  # after about as long a node goes back to its preferred relay
-    load_factor: float = 1.25  # of its even part, what a relay takes
-    min_sessions: int = 64  # that a relay takes in any case
-    sessions_per_s: int = 200  # new ones at a relay
+    preferred_relay_interval: int = 600_000  # the mean time until a node returns to its preferred relay
+    load_factor: float = 1.25  # a relay accepts this multiple of the mean number of sessions per relay
+    min_sessions: int = 64  # a relay accepts at least as many sessions whatever the mean is
+    sessions_per_s: int = 200  # the rate limit of new sessions at a relay
     snapshot_bytes_per_s: int = 16 * 1024 * 1024
-    max_unsent_bytes: int = 1024 * 1024  # to a session, beyond a snapshot, before it is ended
-    history_bytes: int = 8 * 1024 * 1024  # of changes that a store remembers
-    max_calls: int = 256  # of operators, in progress at the leader
-    max_demand: int = 256  # tenants asked for at once
-    max_tenants: int = 2_000  # cached at a node
-    tenant_idle: int = 3_000_000  # a tenant without a request for as long is evicted
+    max_unsent_bytes: int = 1024 * 1024  # a session with more unsent bytes, snapshots apart, is ended
+    history_bytes: int = 8 * 1024 * 1024  # the size of the changes that a store remembers for deltas
+    max_calls: int = 256  # operators' calls in progress at the leader
+    max_demand: int = 256  # tenants requested in one message
+    max_tenants: int = 2_000  # tenants cached at a node
+    tenant_idle: int = 3_000_000  # a tenant without a request for this time is evicted
 
     def with_drift(self, age: int) -> int:
-        """The most that an age on another's clock comes to on one's own."""
+        """Returns the longest time on the local clock that corresponds to `age` on another machine's clock."""
         return int(age * (1 + self.drift) / (1 - self.drift)) + 1
 
     def max_view_lifetime(self) -> int:
-        """How long another may act by a view that is confirmed now, on one's own clock."""
+        """Returns how long, on the local clock, a peer may act on a view that is confirmed to it now."""
         return self.with_drift(self.stale)
 
 
 class ConfirmedViews:
-    """Which versions a peer may still act on by what was confirmed to it, until when by the own clock."""
+    """Tracks which versions a peer may still act on. Times are those of the local clock."""
 
-    __slots__ = ("acknowledged", "confirmed")
+    __slots__ = ("acknowledged_version", "confirmations")
 
     def __init__(self) -> None:
-        self.acknowledged: int = -1  # the peer has said that it acts on nothing older
-        self.confirmed: deque[tuple[int, int]] = deque()  # version, and until when
+        self.acknowledged_version: int = -1  # the peer has reported that it acts on no older version
+        self.confirmations: deque[tuple[int, int]] = deque()  # version and expiry
 
-    def confirm(self, version: int, until: int) -> None:
-        """A confirmation has effect only at a peer that is at just this version."""
-        if self.confirmed and self.confirmed[-1][0] == version:
-            self.confirmed.pop()
-        self.confirmed.append((version, until))
+    def confirm(self, version: int, expires_at: int) -> None:
+        """Records a confirmation of `version`. Only a peer that is at exactly this version can use it."""
+        if self.confirmations and self.confirmations[-1][0] == version:
+            self.confirmations.pop()
+        self.confirmations.append((version, expires_at))
 
     def acknowledge(self, version: int) -> None:
-        """The peer acts on this version."""
-        self.acknowledged = max(self.acknowledged, version)
-
-    def oldest(self, now: int) -> int | None:
-        """The least version that the peer may act on; None: it may not act at all any more."""
-        while self.confirmed and self.confirmed[0][1] < now:
-            self.confirmed.popleft()
-        return max(self.confirmed[0][0], self.acknowledged) if self.confirmed else None
-
-    def until(self) -> int:
-        """When the last confirmation ends."""
-        return self.confirmed[-1][1] if self.confirmed else DISTANT_PAST
+        """Records that the peer acts on this version."""
+        self.acknowledged_version = max(self.acknowledged_version, version)
+
+    def oldest_version(self, now: int) -> int | None:
+        """Returns the oldest version that the peer may act on; None once all confirmations have expired."""
+        while self.confirmations and self.confirmations[0][1] < now:
+            self.confirmations.popleft()
+        return max(self.confirmations[0][0], self.acknowledged_version) if self.confirmations else None
+
+    def last_expiry(self) -> int:
+        """Returns when the last confirmation expires."""
+        return self.confirmations[-1][1] if self.confirmations else DISTANT_PAST
--- a/basalthoist/distribution/catalogue.py
+++ b/basalthoist/distribution/catalogue.py
@@ -1,6 +1,7 @@
-"""The catalogue: what nodes are configured with, as entries with a scope, at a version, with a digest.
+"""The catalogue: the nodes' configuration, as entries with scopes, with a version and a digest.
 
-A digest is the sum of its entries' weights (Bellare and Micciancio 1997), so it is kept up change by change.
+The digest is the sum of the entries' hashes (Bellare and Micciancio 1997), so that a change updates it without
+rehashing the other entries.
 """
 
 from collections import deque
@@ -11,24 +12,25 @@
 import msgspec
 
 Kind = Literal["service", "route", "tenant", "backends", "limit", "verdict", "relay"]
-Key = tuple[Kind, str]  # kind and name
-Call = tuple[str, int]  # an operator's: the caller's name and the call's id
+Key = tuple[Kind, str]  # an entry's kind and name
+Call = tuple[str, int]  # identifies an operator's call: the caller's name and the call's id
 DIGEST_MODULUS = 1 << 256
 DIGEST_BYTES = 32
 TENANT: Kind = "tenant"
-TENANT_NAMES, TENANT_ENTRIES = "\0names", "\0tenants"  # scopes in the history alone
-STEP_BYTES = 64  # of a step in the history, beside its entries
+TENANT_NAMES, TENANT_ENTRIES = "\0names", "\0tenants"  # pseudo-scopes that only the history uses
+STEP_OVERHEAD_BYTES = 64  # counted for each step of the history in addition to its entries
 
 
 class EntryError(ValueError):
-    """An entry that cannot be distributed; the text names its key and reaches the operator."""
+    """Raised for an entry that cannot be distributed. The text names its key and is returned to the operator."""
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One thing that is configured.
+    """One item of configuration.
 
-    `scope`: the service whose nodes need it, or empty for what all need. `body`: its settings, as JSON-like
-    data, checked by `configuration` before a change has a version. `on` False takes the entry out.
+    `scope` is the service whose nodes need the entry; empty if all nodes need it. `body` holds the settings as
+    JSON-like data, which `configuration` validates before a change is assigned a version. `on` False removes
+    the entry with this key.
     """
 
     kind: Kind
@@ -39,22 +41,24 @@
 
     @property
     def key(self) -> Key:
-        """What the catalogue has at most one entry of."""
+        """The kind and name; the catalogue has at most one entry for each key."""
         return self.kind, self.name
 
 
 class Change(msgspec.Struct, frozen=True, array_like=True):
-    """One version: entries in order, and the digests of the whole catalogue before and after it."""
+    """The change to one version: the entries in order, and the catalogue's digests before and after it."""
 
     version: int
     entries: list[Entry]
     digest_before: bytes
     digest_after: bytes
-    calls: list[Call] = []  # that it carries out: each becomes one change, also under another leader
+    calls: list[
+        Call
+    ] = []  # the operators' calls carried out by this change, so that no later leader repeats one
 
 
 class AppliedEntry(NamedTuple):
-    """An entry, and what stood in its place before."""
+    """An entry, and the entry that it replaced."""
 
     entry: Entry
     previous: Entry | None
@@ -63,87 +67,87 @@
 ENCODE = msgspec.msgpack.Encoder(order="sorted").encode
 
 
-def weigh(data: bytes) -> int:
-    """What an entry in this encoding adds to a digest."""
+def hash_encoded(data: bytes) -> int:
+    """Returns the hash of an encoded entry, as it is summed in a digest."""
     return int.from_bytes(blake2b(data, digest_size=DIGEST_BYTES).digest(), "big")
 
 
-def weight_of(entry: Entry | None) -> int:
-    """What an entry adds to a digest; nothing where there is none, or it is taken out."""
-    return weigh(ENCODE(entry)) if entry is not None and entry.on else 0
+def hash_of(entry: Entry | None) -> int:
+    """Returns the hash of an entry, as it is summed in a digest; 0 for None and for a removal."""
+    return hash_encoded(ENCODE(entry)) if entry is not None and entry.on else 0
 
 
 def digest_bytes(total: int) -> bytes:
-    """The digest that a sum of weights comes to."""
+    """Returns the digest for a sum of hashes."""
     return (total % DIGEST_MODULUS).to_bytes(DIGEST_BYTES, "big")
 
 
-def is_same(one: Entry | None, other: Entry) -> bool:
-    """Guards against bodies that are equal and yet have another digest, as 1 and 1.0 do."""
+def is_identical(one: Entry | None, other: Entry) -> bool:
+    """Returns whether two entries are equal and also have the same encoding, which 1 and 1.0 do not."""
     return one == other and ENCODE(one) == ENCODE(other)
 
 
 def removal_of(entry: Entry) -> Entry:
-    """The entry that takes this one out."""
+    """Returns the entry that removes this one."""
     return Entry(entry.kind, entry.name, entry.scope, {}, False)
 
 
 class Catalogue:
-    """Entries at a version. Tenants stand apart: they are in the digest of the whole, in no scope's."""
+    """The entries at a version. Tenants count in the digest of the whole catalogue, but in that of no scope."""
 
     def __init__(self, version: int = 0, entries: Iterable[Entry] = ()) -> None:
         self.version = version
         self.scopes: dict[str, dict[Key, Entry]] = {}
-        self.scope_sums: dict[str, int] = {}  # of weights
-        self.scope_bytes: dict[str, int] = {}  # of encoded entries
-        self.entries: dict[Key, Entry] = {}  # all but tenants
+        self.scope_sums: dict[str, int] = {}  # the sum of the entries' hashes for each scope
+        self.scope_bytes: dict[str, int] = {}  # the size of the encoded entries for each scope
+        self.entries: dict[Key, Entry] = {}  # all entries except tenants
         self.tenants: dict[str, Entry] = {}
-        self.tenants_sum = 0
+        self.tenants_hash_sum = 0
         for entry in entries:
             self.put(entry)
 
     def copy(self) -> "Catalogue":
-        """One that changes by itself from now on."""
+        """Returns an independent copy."""
         made = Catalogue(self.version)
         made.scopes = {scope: dict(entries) for scope, entries in self.scopes.items()}
         made.scope_sums, made.scope_bytes = dict(self.scope_sums), dict(self.scope_bytes)
         made.entries, made.tenants = dict(self.entries), dict(self.tenants)
-        made.tenants_sum = self.tenants_sum
+        made.tenants_hash_sum = self.tenants_hash_sum
         return made
 
     def get(self, key: Key) -> Entry | None:
-        """The entry of that key."""
+        """Returns the entry with this key, or None."""
         return self.tenants.get(key[1]) if key[0] == TENANT else self.entries.get(key)
 
     def all_entries(self) -> list[Entry]:
-        """Tenants come last."""
+        """Returns all entries, tenants last."""
         return [*self.entries.values(), *self.tenants.values()]
 
     def entries_in(self, scopes: Iterable[str]) -> list[Entry]:
-        """The entries of these scopes, and those that all need."""
+        """Returns the entries of these scopes and those that all nodes need."""
         return [entry for scope in sorted({"", *scopes}) for entry in self.scopes.get(scope, {}).values()]
 
     def digest_of(self, scopes: Iterable[str]) -> bytes:
-        """The digest of `entries_in` these scopes."""
+        """Returns the digest of the entries that `entries_in` returns for these scopes."""
         return digest_bytes(sum(self.scope_sums.get(scope, 0) for scope in {"", *scopes}))
 
-    def sum_of_scopes(self) -> int:
-        """The sum of weights of all but tenants."""
+    def scopes_hash_sum(self) -> int:
+        """Returns the sum of the hashes of all entries except tenants."""
         return sum(self.scope_sums.values())
 
     def digest(self) -> bytes:
-        """The digest of the whole."""
-        return digest_bytes(self.sum_of_scopes() + self.tenants_sum)
+        """Returns the digest of the whole catalogue, tenants included."""
+        return digest_bytes(self.scopes_hash_sum() + self.tenants_hash_sum)
 
     def digest_with(self, entries: Iterable[Entry]) -> bytes:
-        """The digest of the whole with these entries, each key at most once."""
-        total = self.sum_of_scopes() + self.tenants_sum
+        """Returns the digest that the catalogue would have with these entries, whose keys must be distinct."""
+        total = self.scopes_hash_sum() + self.tenants_hash_sum
         for entry in entries:
-            total += weight_of(entry) - weight_of(self.get(entry.key))
+            total += hash_of(entry) - hash_of(self.get(entry.key))
         return digest_bytes(total)
 
     def put(self, entry: Entry) -> Entry | None:
-        """Returns what stood there before. The version is the caller's to set."""
+        """Adds, replaces or removes an entry; returns the entry that was replaced. Leaves the version as it is."""
         if entry.kind == TENANT:
             return self.put_tenant(entry)
         previous = self.entries.get(entry.key)
@@ -155,9 +159,9 @@
         return previous
 
     def put_tenant(self, entry: Entry) -> Entry | None:
-        """Returns what stood there before."""
+        """Adds, replaces or removes a tenant; returns the entry that was replaced."""
         previous = self.tenants.get(entry.name)
-        self.tenants_sum += weight_of(entry) - weight_of(previous)
+        self.tenants_hash_sum += hash_of(entry) - hash_of(previous)
         if entry.on:
             self.tenants[entry.name] = entry
         else:
@@ -165,7 +169,7 @@
         return previous
 
     def remove(self, entry: Entry) -> None:
-        """Takes out an entry that is here and no tenant."""
+        """Removes an entry that is in the catalogue and is not a tenant."""
         self.count(entry, -1)
         scope = entry.scope
         del self.entries[entry.key], self.scopes[scope][entry.key]
@@ -173,51 +177,51 @@
             del self.scopes[scope], self.scope_sums[scope], self.scope_bytes[scope]
 
     def count(self, entry: Entry, sign: int) -> None:
-        """Adds an entry to the sums of its scope, or takes it out of them."""
+        """Adds an entry to the sums of its scope (`sign` 1), or subtracts it (`sign` -1)."""
         data, scope = ENCODE(entry), entry.scope
-        self.scope_sums[scope] = (self.scope_sums.get(scope, 0) + sign * weigh(data)) % DIGEST_MODULUS
+        self.scope_sums[scope] = (self.scope_sums.get(scope, 0) + sign * hash_encoded(data)) % DIGEST_MODULUS
         self.scope_bytes[scope] = self.scope_bytes.get(scope, 0) + sign * len(data)
 
-    def effective(self, entries: Iterable[Entry]) -> list[Entry]:
-        """The last of each key, where it changes anything."""
+    def effective_entries(self, entries: Iterable[Entry]) -> list[Entry]:
+        """Returns the last entry for each key, leaving out those that change nothing."""
         found = []
         for entry in {entry.key: entry for entry in entries}.values():
             previous = self.get(entry.key)
-            if entry.on and not is_same(previous, entry):
+            if entry.on and not is_identical(previous, entry):
                 found.append(entry)
             elif not entry.on and previous is not None:
                 found.append(removal_of(previous))
         return found
 
     def make_change(self, entries: Iterable[Entry], calls: list[Call] | None = None) -> Change | None:
-        """The next version with these, or None where they change nothing."""
-        effective = self.effective(entries)
+        """Returns the change to the next version by these entries; None if they change nothing."""
+        effective = self.effective_entries(entries)
         if not effective:
             return None
         return Change(self.version + 1, effective, self.digest(), self.digest_with(effective), calls or [])
 
     def accepts(self, change: Change) -> bool:
-        """Whether the change builds on this version, and its entries have the digest that it gives."""
+        """Returns whether the change follows this version and its entries lead to the digest that it declares."""
         by_key = {entry.key: entry for entry in change.entries}
         if change.version != self.version + 1 or change.digest_before != self.digest():
             return False
         return len(by_key) == len(change.entries) and self.digest_with(by_key.values()) == change.digest_after
 
     def apply(self, entries: Iterable[Entry], version: int) -> list[AppliedEntry]:
-        """Puts the entries in; this is that version from now on."""
+        """Applies the entries and sets the version; returns each entry with the one that it replaced."""
         self.version = version
         return [AppliedEntry(entry, self.put(entry)) for entry in entries]
 
     def difference_to(self, other: "Catalogue") -> list[Entry]:
-        """The entries that make this one the other."""
-        found = [entry for entry in other.all_entries() if not is_same(self.get(entry.key), entry)]
+        """Returns the entries that turn this catalogue into the other."""
+        found = [entry for entry in other.all_entries() if not is_identical(self.get(entry.key), entry)]
         found += [removal_of(entry) for key, entry in self.entries.items() if key not in other.entries]
         found += [Entry(TENANT, name, on=False) for name in self.tenants if name not in other.tenants]
         return found
 
 
 class HistoryStep(NamedTuple):
-    """What changed from one version to another, as scope and key, and what it counts in the history."""
+    """The scopes and keys that changed between two versions, and the size counted for them."""
 
     base_version: int
     version: int
@@ -226,18 +230,18 @@
 
 
 class History:
-    """Which keys changed lately, by scope: from it a peer that is behind gets a delta. Bounded by bytes."""
+    """Remembers the recently changed keys of each scope, from which deltas are built. Bounded by size in bytes."""
 
     def __init__(self, max_bytes: int) -> None:
         self.max_bytes = max_bytes
-        self.size = 0  # bytes
+        self.size = 0  # in bytes
         self.steps: deque[HistoryStep] = deque()
         self.by_scope: dict[str, deque[tuple[int, Key]]] = {}
-        self.base_versions: set[int] = set()  # from which a step leads on
+        self.base_versions: set[int] = set()  # the versions at which a step starts
 
     def add(self, base_version: int, version: int, applied: list[AppliedEntry]) -> None:
-        """Remembers a step, and forgets the earliest beyond the bound."""
-        size = STEP_BYTES + sum(len(ENCODE(one.entry)) for one in applied)
+        """Adds a step, and drops the earliest steps beyond the size limit."""
+        size = STEP_OVERHEAD_BYTES + sum(len(ENCODE(one.entry)) for one in applied)
         changed = [(scope, one.entry.key) for one in applied for scope in sorted(self.scopes_of(one))]
         for scope, key in changed:
             self.by_scope.setdefault(scope, deque()).append((version, key))
@@ -249,7 +253,7 @@
 
     @staticmethod
     def scopes_of(applied: AppliedEntry) -> set[str]:
-        """Whose subscribers an entry's change concerns."""
+        """Returns the scopes whose subscribers need this change."""
         entry, previous = applied
         if entry.kind != TENANT:
             return {entry.scope, previous.scope if previous is not None else entry.scope}
@@ -258,7 +262,7 @@
         return {TENANT_ENTRIES, TENANT_NAMES}
 
     def forget(self, step: HistoryStep) -> None:
-        """Takes the earliest step out."""
+        """Updates the indexes after the earliest step was removed."""
         self.base_versions.discard(step.base_version)
         self.size -= step.size
         for scope, _ in step.changed:
@@ -267,13 +271,14 @@
                 del self.by_scope[scope]
 
     def keys_since(self, scopes: Iterable[str] | None, version: int, current: int) -> list[Key] | None:
-        """Keys changed after that version until the current one; None: that is not remembered any more.
+        """Returns the keys changed after `version` up to `current`; None if the history does not reach back to it.
 
-        `scopes` None: all of them.
+        `scopes` None stands for all scopes.
         """
         if version == current:
             return []
-        # Guards against a version that was skipped here: what came and went again on the way is not known.
+        # This store may have skipped the version by a longer step. Entries that were added and removed within the
+        # step are not recorded, so no delta can start there.
         if version not in self.base_versions:
             return None
         found: dict[Key, None] = {}
--- a/basalthoist/distribution/leader_session.py
+++ b/basalthoist/distribution/leader_session.py
@@ -1,4 +1,4 @@
-"""Keeps a store on a relay's machine in step with the leader. Times are those of the machine's own clock."""
+"""The session of a relay process with the leader. Times are those of the local clock."""
 
 from typing import Protocol
 
@@ -25,28 +25,28 @@
     Snapshot,
 )
 
-RESYNCS_PER_HEARTBEAT = 4  # at most
-CALL_GRACE_HEARTBEATS = 2  # after a call's timeout until it is given up here
+MAX_RESYNCS_PER_HEARTBEAT = 4
+CALL_GRACE_HEARTBEATS = 2  # heartbeats after a call's timeout in which the leader's answer may still arrive
 
 
 class LeaderSessionHost(ConnectionHost, Protocol):
-    """What a leader session makes happen on its machine."""
+    """The environment of a leader session: its connection, its relay and its operators."""
 
     def on_commit(self, entries: list[Entry]) -> None:
-        """The store has a later version, by these entries."""
+        """Called when the store has committed a later version with these entries."""
 
     def on_proposal(self) -> None:
-        """The store has another pending change: `Store.pending_record` goes to its file."""
+        """Called when another change is pending; the host appends `Store.pending_record` to the store's file."""
 
     def on_answer(self, call_id: int, text: str) -> None:
-        """To an operator here."""
+        """Returns the answer to the operator who made the call."""
 
     def relay_state(self) -> RelayState:
-        """Of the relay here."""
+        """Returns the state of the relay in this process, as it is reported to the leader."""
 
 
 class PendingCall:
-    """An operator's call that has no answer yet."""
+    """An operator's call that has not been answered yet."""
 
     def __init__(self, entries: list[Entry], deadline: int) -> None:
         self.entries = entries
@@ -55,7 +55,10 @@
 
 
 class LeaderSession:
-    """Keeps a store in step with the leader over one connection. `voters`: addresses, one the leader's."""
+    """Synchronizes a store with the leader over one connection.
+
+    `voters` are the voters' addresses, one of which is the leader's.
+    """
 
     def __init__(
         self,
@@ -77,36 +80,36 @@
         self.bounds = bounds
         self.store = store
         self.connection = PeerConnection(host, bounds, random, now)
-        self.confirmed_at = DISTANT_PAST  # the view here is as if it had been confirmed just then
-        self.leader = ""  # the address that a voter named
+        self.confirmed_at = DISTANT_PAST  # the latest time at which the view is known to have been current
+        self.leader = ""  # the leader's address as a voter has named it; empty if unknown
         self.next_voter = int(random.uniform() * len(voters))
-        self.max_sessions = 0  # that the leader allows the relay here; 0: as many as come
+        self.max_sessions = 0  # the leader's limit for the relay of this process; 0 stands for no limit
         self.calls: dict[int, PendingCall] = {}
 
     def age(self, now: int) -> int:
-        """In tenths of a millisecond: the store's version was the latest at some moment within it."""
+        """Returns the age of the view: the store's version was the latest at some time within it."""
         return min(now - self.confirmed_at, UNCONFIRMED_AGE)
 
-    # Time.
+    # Timer.
 
     def on_tick(self, now: int) -> None:
-        """Connects, leaves a leader that is silent, sends heartbeats and calls."""
+        """Connects, disconnects from a silent leader, sends heartbeats, and sends or gives up calls."""
         connection = self.connection
         if connection.may_open(now):
             address, self.leader = self.leader or self.voters[self.next_voter % len(self.voters)], ""
             connection.open(now, address)
         elif connection.address and connection.is_silent(now):
-            self.leave(now)
-        elif connection.is_heartbeat_due(now):
+            self.disconnect(now)
+            elif connection.is_heartbeat_due(now):
             self.send_heartbeat(now)
         for call_id, call in list(self.calls.items()):
             if now > call.deadline + CALL_GRACE_HEARTBEATS * self.bounds.heartbeat:
-                self.settle(call_id, "FAILURE no author, not known whether the change is kept")
+                self.finish_call(call_id, "FAILURE no author, not known whether the change is kept")
             else:
-                self.pass_on(now, call_id)
+                self.forward_call(now, call_id)
 
     def send_heartbeat(self, now: int) -> None:
-        """Tells the leader of the store and the relay here."""
+        """Reports the state of the store and the relay to the leader."""
         store, relay = self.store, self.host.relay_state()
         heartbeat = Heartbeat(
             now,
@@ -121,26 +124,26 @@
         )
         self.connection.send_heartbeat(heartbeat)
 
-    def leave(self, now: int) -> None:
-        """Another voter is tried."""
+    def disconnect(self, now: int) -> None:
+        """Closes the connection; the next attempt goes to another voter."""
         self.host.close()
         self.on_disconnected(now)
 
     def on_connected(self, now: int) -> None:
-        """The connection is open; the session is not accepted yet."""
+        """Requests a session on the open connection."""
         self.connection.heard_at = now
-        own = self.name, self.incarnation, "relay", self.region
-        self.host.send(HandshakeRequest(*own, [], self.store.version, self.store.digest))
+        identity = self.name, self.incarnation, "relay", self.region
+        self.host.send(HandshakeRequest(*identity, [], self.store.version, self.store.digest))
 
     def on_disconnected(self, now: int) -> None:
-        """The connection has ended, or none came about."""
+        """Selects the next voter after the connection has ended or could not be opened."""
         self.next_voter += 1
-        self.connection.lost(now)
+        self.connection.on_disconnected(now)
 
-    # From the leader.
+    # Messages of the leader.
 
     def on_message(self, now: int, message: Message) -> None:
-        """One that came on the connection."""
+        """Handles a message of the peer."""
         self.connection.heard_at = now
         match message:
             case HandshakeReply():
@@ -158,24 +161,24 @@
             case ResyncRequest():
                 self.on_resync_request(message)
             case OperatorReply():
-                self.settle(message.call_id, message.text)
+                self.finish_call(message.call_id, message.text)
 
     def on_accepted(self, now: int) -> None:
-        """The session is open: calls go out again, as this may be another leader."""
-        self.connection.accepted()
+        """Reports to the leader and sends all calls again, as this may be another leader."""
+        self.connection.on_accepted()
         self.send_heartbeat(now)
         for call_id in self.calls:
-            self.pass_on(now, call_id, again=True)
+            self.forward_call(now, call_id, again=True)
 
     def on_redirect(self, now: int, message: Redirect) -> None:
-        """It is not the leader, and may know who is."""
-        self.leave(now)
+        """Disconnects from a voter that is not the leader, and connects to the leader if the voter names one."""
+        self.disconnect(now)
         if message.relays:
             self.leader = message.relays[0]
             self.connection.retry_soon(now)
 
     def on_heartbeat_reply(self, now: int, message: HeartbeatReply) -> None:
-        """Confirms the view, if the store is at just this version; asks for what is missing otherwise."""
+        """Confirms the view if the store has the leader's version and digest; requests what is missing otherwise."""
         store = self.store
         if (message.version, message.digest) == store.head:
             self.confirmed_at = max(self.confirmed_at, message.sent_at - message.age)
@@ -186,7 +189,7 @@
             self.request_resync(now, -1)
 
     def on_proposal(self, now: int, message: Proposal) -> None:
-        """The leader learns by a heartbeat that the change is pending here."""
+        """Stores the proposed change and acknowledges it to the leader by a heartbeat."""
         store = self.store
         before = store.term, store.pending_version
         if store.propose(message.term, message.change):
@@ -197,36 +200,37 @@
             self.request_resync(now, store.version)
 
     def on_commit_notice(self, now: int, message: CommitNotice) -> None:
-        """Commits the pending change, unless that version is older or already here."""
+        """Commits the pending change, unless the store already has that version or a later one."""
         store = self.store
         if message.version >= store.version and (message.version, message.digest) != store.head:
             entries = store.commit(message.version, message.digest)
             self.after_update(now, entries, resync_from=store.version)
 
     def on_update(self, now: int, message: Delta | Snapshot) -> None:
-        """Changes that this store has missed."""
+        """Applies changes that this store has missed."""
         store = self.store
-        # Guards against asking again and again for what is not new, or older than what is committed here.
+        # Guards against endless resync requests for an update that is not newer than the committed version.
         if message.version < store.version or (message.version, message.digest) == store.head:
             return
-        # Guards against keeping content that has another digest than it says: then all of it is asked for.
-        from_the_start = isinstance(message, Snapshot) or message.base_version == store.version
-        resync_from = -1 if from_the_start else store.version
+        # Guards against applying an update whose content has another digest than it declares: as it starts from
+        # the right version, only a snapshot can replace it.
+        needs_snapshot = isinstance(message, Snapshot) or message.base_version == store.version
+        resync_from = -1 if needs_snapshot else store.version
         self.after_update(now, store.take_update(message), resync_from)
 
     def after_update(self, now: int, entries: list[Entry] | None, resync_from: int) -> None:
-        """The store has changed by these entries; None: the update did not fit."""
+        """Reports the entries that changed; requests a resync if `entries` is None, as the update did not apply."""
         if entries is None:
             return self.request_resync(now, resync_from)
         self.host.on_commit(entries)
         self.send_heartbeat(now)
 
     def request_resync(self, now: int, version: int) -> None:
-        """Asks the leader for what came after that version."""
-        self.connection.request_resync(now, version, self.bounds.heartbeat // RESYNCS_PER_HEARTBEAT)
+        """Requests the changes after `version` from the leader, or a snapshot (-1)."""
+        self.connection.request_resync(now, version, self.bounds.heartbeat // MAX_RESYNCS_PER_HEARTBEAT)
 
     def on_resync_request(self, message: ResyncRequest) -> None:
-        """A new leader misses something that is committed, or may be."""
+        """Sends a new leader the changes that it misses, and the pending change, which may be committed."""
         store = self.store
         update = store.update_for(None, message.version)
         if update is not None:
@@ -234,21 +238,24 @@
         if store.pending is not None:
             self.host.send(Proposal(store.term, store.pending))
 
-    # Operators here.
+    # Calls of local operators.
 
     def on_call(self, now: int, call_id: int, entries: list[Entry]) -> None:
-        """`on_answer` gets what became of it, within its timeout and some heartbeats."""
+        """Starts a call; `on_answer` gets its result after `call_timeout` and the grace time at the latest."""
         self.calls[call_id] = PendingCall(entries, now + self.bounds.call_timeout)
-        self.pass_on(now, call_id)
+        self.forward_call(now, call_id)
+
+    def forward_call(self, now: int, call_id: int, again: bool = False) -> None:
+        """Sends a call to the leader, unless that was done within the last heartbeat interval.
 
-    def pass_on(self, now: int, call_id: int, again: bool = False) -> None:
-        """To the leader, once in a heartbeat's interval until there is an answer."""
+        `again` skips that check.
+        """
         call = self.calls[call_id]
         if self.connection.is_established and (again or now - call.sent_at >= self.bounds.heartbeat):
             call.sent_at = now
             self.host.send(OperatorCall(call_id, call.entries, max(call.deadline - now, 0)))
 
-    def settle(self, call_id: int, text: str) -> None:
-        """The call has its answer; a second one is dropped."""
+    def finish_call(self, call_id: int, text: str) -> None:
+        """Answers a call; a second answer to it is dropped."""
         if self.calls.pop(call_id, None) is not None:
             self.host.on_answer(call_id, text)
--- a/basalthoist/distribution/peer_connection.py
+++ b/basalthoist/distribution/peer_connection.py
@@ -1,4 +1,4 @@
-"""The one connection that a node or a store keeps to its peer: attempts, backoff, heartbeats, loss."""
+"""The state of the single connection from a node to its relay, or from a relay process to the leader."""
 
 from typing import Protocol
 
@@ -7,76 +7,82 @@
 from .bounds import DISTANT_PAST, Bounds
 from .wire import EncodedMessage, Heartbeat, Message, ResyncRequest
 
-MAX_DOUBLINGS = 10  # of the backoff
+MAX_BACKOFF_DOUBLINGS = 10
 
 
 class ConnectionHost(Protocol):
-    """Carries the messages. There is one connection at a time."""
+    """Opens, closes and writes to the connection, of which there is at most one at a time."""
 
     def connect(self, address: str) -> None:
-        """Opens a connection; the one before ends."""
+        """Opens a connection and ends the previous one."""
 
     def close(self) -> None:
-        """Ends the connection, also one that is being opened."""
+        """Ends the connection, even while it is being opened."""
 
     def send(self, message: Message | EncodedMessage) -> None:
-        """On the connection, if there is one."""
+        """Sends a message on the connection; does nothing if there is none."""
 
 
 class PeerConnection:
-    """When it is opened, and what is known of it. Times are those of the own clock."""
+    """Decides when to connect and when to send heartbeats. Times are those of the local clock."""
 
     def __init__(self, host: ConnectionHost, bounds: Bounds, random: Lcg, now: int) -> None:
         self.host = host
         self.bounds = bounds
         self.random = random
-        self.address = ""  # of the peer, from the attempt on
+        self.address = ""  # the peer's address from the start of the attempt; empty without a connection
         self.is_established = False  # the peer has accepted the session
-        self.failures = 0  # in a row
+        self.consecutive_failures = 0
         self.next_attempt_at = now
         self.heard_at = now
         self.heartbeat_at = DISTANT_PAST
         self.resync_at = DISTANT_PAST
 
     def may_open(self, now: int) -> bool:
-        """Whether there is none, and the backoff is over."""
+        """Returns whether there is no connection and the backoff has elapsed."""
         return not self.address and now >= self.next_attempt_at
 
     def open(self, now: int, address: str) -> None:
-        """Begins an attempt."""
+        """Starts to connect to `address`."""
         self.address, self.heard_at = address, now
         self.host.connect(address)
 
-    def accepted(self) -> None:
-        """The peer has accepted the session."""
-        self.is_established, self.failures = True, 0
+    def on_accepted(self) -> None:
+        """Records that the peer has accepted the session."""
+        self.is_established, self.consecutive_failures = True, 0
 
     def is_silent(self, now: int) -> bool:
-        """Guards against a peer that stands still, or is cut off without an end to its connection."""
+        """Returns whether the peer has sent nothing for too long.
+
+        Detects a peer that hangs, or was cut off by the network without closing the connection.
+        """
         return now - self.heard_at > self.bounds.silent
 
     def is_heartbeat_due(self, now: int) -> bool:
-        """Whether the last one was long ago."""
+        """Returns whether the session is accepted and its last heartbeat is at least one interval old."""
         return self.is_established and now - self.heartbeat_at >= self.bounds.heartbeat
 
     def send_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """The next one is due an interval later."""
+        """Sends a heartbeat; the next is due one interval later."""
         self.heartbeat_at = heartbeat.sent_at
         self.host.send(heartbeat)
 
     def request_resync(self, now: int, version: int, interval: int) -> None:
-        """Asks for what came after that version, at most once in an interval."""
+        """Requests the changes after `version`, or a snapshot (-1), at most once per `interval`."""
         if now - self.resync_at >= interval:
             self.resync_at = now
             self.host.send(ResyncRequest(version))
 
-    def lost(self, now: int) -> None:
-        """It has ended, or none came about. The wait has full jitter (Brooker 2015) and a bound."""
+    def on_disconnected(self, now: int) -> None:
+        """Schedules the next attempt with exponential backoff and full jitter (Brooker 2015)."""
         self.is_established, self.address = False, ""
-        longest = min(self.bounds.backoff << min(self.failures, MAX_DOUBLINGS), self.bounds.max_backoff)
-        self.failures += 1
+        longest = min(
+            self.bounds.backoff << min(self.consecutive_failures, MAX_BACKOFF_DOUBLINGS),
+            self.bounds.max_backoff,
+        )
+        self.consecutive_failures += 1
         self.next_attempt_at = now + int(longest * self.random.uniform())
 
     def retry_soon(self, now: int) -> None:
-        """The next attempt goes to a peer that was named, so it needs no longer backoff."""
+        """Schedules the next attempt after the shortest backoff, as a redirect has named the peer to use."""
         self.next_attempt_at = now + int(self.bounds.backoff * self.random.uniform())
--- a/basalthoist/distribution/publisher.py
+++ b/basalthoist/distribution/publisher.py
@@ -261,7 +261,7 @@
     def on_session_ended(self, now: int, session: int) -> None:
         """The carrier has no such session any more."""
         follower = self.followers.pop(session, None)
-        if follower is not None and follower.views.oldest(now) is not None:
+        if follower is not None and follower.views.oldest_version(now) is not None:
             self.lost_followers.append(follower)
         self.waiting = [call for call in self.waiting if call.session != session]
 
@@ -452,11 +452,13 @@
         Ages add up, so whoever acts by a leader's confirmation can't once a view has run out since.
         """
         found = {}
-        self.lost_followers = [one for one in self.lost_followers if one.views.oldest(now) is not None]
+        self.lost_followers = [
+            one for one in self.lost_followers if one.views.oldest_version(now) is not None
+        ]
         for follower in [*self.followers.values(), *self.lost_followers]:
-            oldest = follower.views.oldest(now)
+            oldest = follower.views.oldest_version(now)
             if oldest is not None and oldest < version:
-                found[follower.name] = follower.views.until() - now
+                found[follower.name] = follower.views.last_expiry() - now
         remaining = self.term_began_at + self.bounds.max_view_lifetime() - now
         if remaining > 0:  # relays of the leader before, which may not have been heard here
             found["the author before"] = remaining
--- a/basalthoist/distribution/relay.py
+++ b/basalthoist/distribution/relay.py
@@ -108,17 +108,17 @@
 
     def oldest_version(self, now: int) -> int:
         """The least version that anybody may act on by what was confirmed here."""
-        self.lost_views = [views for views in self.lost_views if views.oldest(now) is not None]
+        self.lost_views = [views for views in self.lost_views if views.oldest_version(now) is not None]
         found = [self.store.version]
         for views in [*self.lost_views, *(session.views for session in self.sessions.values())]:
-            oldest = views.oldest(now)
+            oldest = views.oldest_version(now)
             if oldest is not None:
                 found.append(oldest)
         return min(found)
 
     def state(self, now: int) -> RelayState:
         """What the leader is told."""
-        nodes = sum(session.views.oldest(now) is not None for session in self.sessions.values())
+        nodes = sum(session.views.oldest_version(now) is not None for session in self.sessions.values())
         since = now - self.bounds.heartbeat
         self.redirected_at = {name: at for name, at in self.redirected_at.items() if at > since}
         inactive_nodes = len(self.sessions) - nodes
@@ -177,7 +177,7 @@
             self.send_tenant_filter(now, session)
         if update is None:
             return
-        if session.views.confirmed:
+        if session.views.confirmations:
             self.behind.add(session.number)
         if is_snapshot:
             self.send_large(now, session, update)
@@ -213,7 +213,7 @@
         self.behind.discard(number)
         for name in session.tenants:
             self.release_tenant(number, name)
-        if session.views.oldest(now) is not None:
+        if session.views.oldest_version(now) is not None:
             self.lost_views.append(session.views)
 
     # From nodes.
--- a/basalthoist/distribution/subscriber.py
+++ b/basalthoist/distribution/subscriber.py
@@ -22,7 +22,7 @@
     TenantUpdate,
 )
 
-RESYNCS_PER_HEARTBEAT = 2  # at most
+MAX_RESYNCS_PER_HEARTBEAT = 2
 MAX_STALE_DOUBLINGS = 3  # of the time for which a relay's view may be stale
 MAX_PREFERRED_DOUBLINGS = 5  # of the time between two returns to the preferred relay
 
@@ -92,7 +92,7 @@
 
     def digest(self) -> bytes:
         """Of the entries here, without tenants."""
-        return digest_bytes(self.catalogue.sum_of_scopes())
+        return digest_bytes(self.catalogue.scopes_hash_sum())
 
     def age(self, now: int) -> int:
         """In tenths of a millisecond: the version here was the latest at some moment within it."""
@@ -141,7 +141,7 @@
         """The connection has ended, or none came about."""
         if self.connection.address:
             self.avoided.setdefault(self.connection.address, now + self.bounds.max_backoff)
-        self.connection.lost(now)
+        self.connection.on_disconnected(now)
 
     def draw_preferred_interval(self) -> int:
         """Until the preferred relay is tried: spread, so that not all nodes move at once."""
@@ -223,7 +223,7 @@
 
     def on_accepted(self, now: int) -> None:
         """The session is open. Tenants are asked for before a heartbeat says what is acted on here."""
-        self.connection.accepted()
+        self.connection.on_accepted()
         self.fresh_at, self.suggested = now, []
         self.tenants.demand_all()
         self.send_heartbeat(now)
@@ -253,7 +253,7 @@
 
     def request_resync(self, now: int, version: int) -> None:
         """Asks the relay for what came after that version."""
-        self.connection.request_resync(now, version, self.bounds.heartbeat // RESYNCS_PER_HEARTBEAT)
+        self.connection.request_resync(now, version, self.bounds.heartbeat // MAX_RESYNCS_PER_HEARTBEAT)
 
     def on_delta(self, now: int, message: Delta) -> None:
         """Entries that changed, and names of tenants."""
@@ -276,7 +276,7 @@
         if message.version < self.version:
             return
         other = Catalogue(message.version, message.entries)
-        if digest_bytes(other.sum_of_scopes()) != message.digest:
+        if digest_bytes(other.scopes_hash_sum()) != message.digest:
             return self.request_resync(now, -1)
         self.apply(now, self.catalogue.difference_to(other), message.version)
 
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -11,7 +11,7 @@
 from basalthoist.decisions.random_numbers import Lcg
 from basalthoist.distribution import leader_session, publisher, relay, subscriber
 from basalthoist.distribution.bounds import Bounds, ConfirmedViews
-from basalthoist.distribution.catalogue import Catalogue, Entry, EntryError, digest_bytes, weight_of
+from basalthoist.distribution.catalogue import Catalogue, Entry, EntryError, digest_bytes, hash_of
 from basalthoist.distribution.store import Store, from_bytes, to_bytes
 from basalthoist.distribution.tenants import BloomFilter, TenantCache
 from basalthoist.distribution.wire import (
@@ -643,7 +643,7 @@
     if message is not None:
         assert other.take_update(message.message) is not None
     assert other.head == made.head and other.catalogue.digest() == other.digest
-    assert digest_bytes(sum(map(weight_of, other.catalogue.all_entries()))) == other.digest
+    assert digest_bytes(sum(map(hash_of, other.catalogue.all_entries()))) == other.digest
     if message is not None:
         assert other.calls.keys() == made.calls.keys()
 
@@ -729,13 +729,13 @@
 
 def test_views_say_which_version_may_still_be_acted_on():
     views = ConfirmedViews()
-    assert views.oldest(0) is None
+    assert views.oldest_version(0) is None
     views.confirm(3, 100)
     views.confirm(4, 200)
-    assert views.oldest(50) == 3 and views.oldest(101) == 4
+    assert views.oldest_version(50) == 3 and views.oldest_version(101) == 4
     views.confirm(4, 300)
     views.acknowledge(6)
-    assert views.oldest(250) == 6 and views.oldest(301) is None
+    assert views.oldest_version(250) == 6 and views.oldest_version(301) is None
 
 
 def test_a_store_asks_no_more_for_what_it_holds_or_is_ahead_of():
