--- a/basalthoist/distribution/bounds.py
+++ b/basalthoist/distribution/bounds.py
@@ -12,7 +12,7 @@
 
 
 def rank(node: str, address: str) -> bytes:
-    """Returns a sort key for relays: each node gets its own order, which changes little as relays come and go.
+    """Returns the key by which a node sorts relays: an order of its own that stays stable as relays change.
 
     Sorting by this key is rendezvous hashing.
     """
@@ -45,7 +45,7 @@
     tenant_idle: int = 3_000_000  # a tenant without a request for this time is evicted
 
     def with_drift(self, age: int) -> int:
-        """Returns the longest time on the local clock that corresponds to `age` on another machine's clock."""
+        """Returns the longest time on the local clock that `age` on another machine's clock may amount to."""
         return int(age * (1 + self.drift) / (1 - self.drift)) + 1
 
     def max_view_lifetime(self) -> int:
--- a/basalthoist/distribution/catalogue.py
+++ b/basalthoist/distribution/catalogue.py
@@ -1,7 +1,7 @@
 """The catalogue: the nodes' configuration, as entries with scopes, with a version and a digest.
 
-The digest is the sum of the entries' hashes (Bellare and Micciancio 1997), so that a change updates it without
-rehashing the other entries.
+The digest is the sum of the entries' hashes (Bellare and Micciancio 1997), so that a change updates it
+without rehashing the other entries.
 """
 
 from collections import deque
@@ -22,15 +22,15 @@
 
 
 class EntryError(ValueError):
-    """Raised for an entry that cannot be distributed. The text names its key and is returned to the operator."""
+    """An entry that cannot be distributed. The text names the entry's key and is returned to the operator."""
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
     """One item of configuration.
 
-    `scope` is the service whose nodes need the entry; empty if all nodes need it. `body` holds the settings as
-    JSON-like data, which `configuration` validates before a change is assigned a version. `on` False removes
-    the entry with this key.
+    `scope` is the service whose nodes need the entry; empty if all nodes need it. `body` holds the settings
+    as JSON-like data, which `configuration` validates before a change is assigned a version. `on` False
+    removes the entry with this key.
     """
 
     kind: Kind
@@ -93,7 +93,7 @@
 
 
 class Catalogue:
-    """The entries at a version. Tenants count in the digest of the whole catalogue, but in that of no scope."""
+    """The entries at a version. Tenants count in the catalogue's digest, but not in that of any scope."""
 
     def __init__(self, version: int = 0, entries: Iterable[Entry] = ()) -> None:
         self.version = version
@@ -140,14 +140,14 @@
         return digest_bytes(self.scopes_hash_sum() + self.tenants_hash_sum)
 
     def digest_with(self, entries: Iterable[Entry]) -> bytes:
-        """Returns the digest that the catalogue would have with these entries, whose keys must be distinct."""
+        """Returns the digest that the catalogue would have with these entries, which have distinct keys."""
         total = self.scopes_hash_sum() + self.tenants_hash_sum
         for entry in entries:
             total += hash_of(entry) - hash_of(self.get(entry.key))
         return digest_bytes(total)
 
     def put(self, entry: Entry) -> Entry | None:
-        """Adds, replaces or removes an entry; returns the entry that was replaced. Leaves the version as it is."""
+        """Adds, replaces or removes an entry, without a new version; returns the entry that was replaced."""
         if entry.kind == TENANT:
             return self.put_tenant(entry)
         previous = self.entries.get(entry.key)
@@ -201,7 +201,7 @@
         return Change(self.version + 1, effective, self.digest(), self.digest_with(effective), calls or [])
 
     def accepts(self, change: Change) -> bool:
-        """Returns whether the change follows this version and its entries lead to the digest that it declares."""
+        """Returns whether the change follows this version and its entries lead to its declared digest."""
         by_key = {entry.key: entry for entry in change.entries}
         if change.version != self.version + 1 or change.digest_before != self.digest():
             return False
@@ -230,7 +230,7 @@
 
 
 class History:
-    """Remembers the recently changed keys of each scope, from which deltas are built. Bounded by size in bytes."""
+    """The recently changed keys of each scope, from which deltas are built. Bounded by size in bytes."""
 
     def __init__(self, max_bytes: int) -> None:
         self.max_bytes = max_bytes
@@ -271,14 +271,14 @@
                 del self.by_scope[scope]
 
     def keys_since(self, scopes: Iterable[str] | None, version: int, current: int) -> list[Key] | None:
-        """Returns the keys changed after `version` up to `current`; None if the history does not reach back to it.
+        """Returns the keys changed after `version` up to `current`; None if `version` is not remembered.
 
         `scopes` None stands for all scopes.
         """
         if version == current:
             return []
-        # This store may have skipped the version by a longer step. Entries that were added and removed within the
-        # step are not recorded, so no delta can start there.
+        # Guards against a version that this store skipped by a longer step: entries that were added and
+        # removed again within that step are not recorded, so no delta can start there.
         if version not in self.base_versions:
             return None
         found: dict[Key, None] = {}
--- a/basalthoist/distribution/leader_session.py
+++ b/basalthoist/distribution/leader_session.py
@@ -36,7 +36,7 @@
         """Called when the store has committed a later version with these entries."""
 
     def on_proposal(self) -> None:
-        """Called when another change is pending; the host appends `Store.pending_record` to the store's file."""
+        """Called when another change is pending; the host appends `Store.pending_record` to its file."""
 
     def on_answer(self, call_id: int, text: str) -> None:
         """Returns the answer to the operator who made the call."""
@@ -100,7 +100,7 @@
             connection.open(now, address)
         elif connection.address and connection.is_silent(now):
             self.disconnect(now)
-            elif connection.is_heartbeat_due(now):
+        elif connection.is_heartbeat_due(now):
             self.send_heartbeat(now)
         for call_id, call in list(self.calls.items()):
             if now > call.deadline + CALL_GRACE_HEARTBEATS * self.bounds.heartbeat:
@@ -171,14 +171,14 @@
             self.forward_call(now, call_id, again=True)
 
     def on_redirect(self, now: int, message: Redirect) -> None:
-        """Disconnects from a voter that is not the leader, and connects to the leader if the voter names one."""
+        """Disconnects from a voter that is not the leader; connects to the leader if the voter names it."""
         self.disconnect(now)
         if message.relays:
             self.leader = message.relays[0]
             self.connection.retry_soon(now)
 
     def on_heartbeat_reply(self, now: int, message: HeartbeatReply) -> None:
-        """Confirms the view if the store has the leader's version and digest; requests what is missing otherwise."""
+        """Confirms the view if the store has the leader's version and digest; otherwise requests a resync."""
         store = self.store
         if (message.version, message.digest) == store.head:
             self.confirmed_at = max(self.confirmed_at, message.sent_at - message.age)
@@ -212,14 +212,14 @@
         # Guards against endless resync requests for an update that is not newer than the committed version.
         if message.version < store.version or (message.version, message.digest) == store.head:
             return
-        # Guards against applying an update whose content has another digest than it declares: as it starts from
-        # the right version, only a snapshot can replace it.
+        # Guards against applying an update whose content has another digest than it declares: if it starts
+        # from the right version, only a snapshot can replace it.
         needs_snapshot = isinstance(message, Snapshot) or message.base_version == store.version
         resync_from = -1 if needs_snapshot else store.version
         self.after_update(now, store.take_update(message), resync_from)
 
     def after_update(self, now: int, entries: list[Entry] | None, resync_from: int) -> None:
-        """Reports the entries that changed; requests a resync if `entries` is None, as the update did not apply."""
+        """Reports the changed entries; requests a resync if `entries` is None: the update did not apply."""
         if entries is None:
             return self.request_resync(now, resync_from)
         self.host.on_commit(entries)
@@ -241,7 +241,7 @@
     # Calls of local operators.
 
     def on_call(self, now: int, call_id: int, entries: list[Entry]) -> None:
-        """Starts a call; `on_answer` gets its result after `call_timeout` and the grace time at the latest."""
+        """Starts a call; `on_answer` gets the result within `call_timeout` and the grace time."""
         self.calls[call_id] = PendingCall(entries, now + self.bounds.call_timeout)
         self.forward_call(now, call_id)
 
--- a/basalthoist/distribution/publisher.py
+++ b/basalthoist/distribution/publisher.py
@@ -1,8 +1,9 @@
-"""At the register's leader: changes get a version, are committed, and are known to be in force.
+"""Runs at the register's leader: assigns versions to changes, commits them and tracks when they take effect.
 
-One change is in progress at a time. It goes to the stores; when a majority of the voters' has it, its head is
-proposed to the register; when the register has committed that, the change is committed and the stores are
-told. docs/distribution.md.
+One change is in progress at a time. The leader sends it to the stores as a proposal. Once it is pending at
+a majority of the voters' stores, the leader proposes its head (version and digest) to the register. Once
+the register has committed the head, the change is committed and the stores get a commit notice.
+docs/distribution.md describes the protocol.
 """
 
 from collections.abc import Callable
@@ -28,61 +29,67 @@
     Snapshot,
 )
 
-SECOND = 10_000  # tenths of a millisecond
-MAX_NAMED_RELAYS = 8  # in an answer
-NOT_PROPOSED = -1  # in place of a call's version
-REMEMBERED_CALLS = 4  # times as many as may be in progress
+SECOND = 10_000  # in tenths of a millisecond
+MAX_NAMED_RELAYS = 8  # the relays named in an answer to an operator
+NOT_PROPOSED = -1  # stands for the version of a call that is not proposed yet
+REMEMBERED_CALLS_FACTOR = 4  # the versions of this multiple of `max_calls` are remembered
 
 Check = Callable[[list[Entry], Callable[[Key], Entry | None], Catalogue], None]
 
 
 class PublisherHost(SessionHost, Protocol):
-    """What a publisher makes happen on its machine."""
+    """The environment of a publisher: its sessions and its store's file."""
 
     def on_commit(self, entries: list[Entry]) -> None:
-        """The store here has a later version, by these entries."""
+        """Called when the local store has committed a later version with these entries."""
 
     def on_proposal(self) -> None:
-        """The store has another pending change: `Store.pending_record` goes to its file."""
+        """Called when another change is pending; the host appends `Store.pending_record` to its file."""
 
 
 class Register(Protocol):
-    """The fleet's register, where `head` is what it has committed last."""
+    """The fleet's replicated register, which holds the catalogue's committed head."""
 
     def leads(self, now: int) -> bool:
-        """Whether this process has the lease."""
+        """Returns whether this process holds the lease."""
 
     def term(self) -> int:
-        """The latest that is known here."""
+        """Returns the latest term known to this process."""
 
     def leader(self) -> str:
-        """Its name, as far as it is known here; "" for none."""
+        """Returns the name of the leader; "" if unknown to this process."""
 
     def head(self) -> tuple[int, bytes]:
-        """Version and digest; asked only where this one leads; version 0 where there is none."""
+        """Returns the committed version and digest; version 0 if there is none.
+
+        Called only while this process leads.
+        """
 
     def propose_head(self, now: int, version: int, digest: bytes) -> None:
-        """The register is to commit this head."""
+        """Proposes this head to the register."""
 
 
 class QueuedCall(NamedTuple):
-    """A change that an operator asks for, not proposed yet."""
+    """An operator's call whose entries are not proposed yet."""
 
     call: Call
     entries: list[Entry]
 
 
 class WaitingCall(NamedTuple):
-    """An operator's call that has no answer: whose, and from which version on it is in force."""
+    """An operator's call that is not answered yet, and the version that carries it out."""
 
     session: int
     call: Call
-    version: int  # NOT_PROPOSED while it is queued
+    version: int  # NOT_PROPOSED while the call is queued
     deadline: int
 
 
 class Follower:
-    """What the leader knows of a relay's process: also of one that was lost, until nobody acts by it."""
+    """The state of a relay process at the leader.
+
+    The state of a lost one is kept until no node may act on the views that were confirmed to it.
+    """
 
     def __init__(self, name: str, incarnation: int, session: int, now: int) -> None:
         self.name = name
@@ -92,13 +99,13 @@
         self.views = ConfirmedViews()
         self.version = -1
         self.pending_version = -1
-        self.term = 0  # of the pending change
+        self.term = 0  # the term in which the pending change was proposed
         self.nodes = 0
         self.inactive_nodes = 0
         self.redirected_nodes = 0
 
     def on_heartbeat(self, now: int, message: Heartbeat) -> None:
-        """What the relay tells of itself."""
+        """Takes in the state that the relay reports."""
         self.heard_at = now
         self.version = max(self.version, message.version)
         self.pending_version = message.pending_version
@@ -110,9 +117,10 @@
 
 
 class Publisher:
-    """Gives changes a version and commits them, while this process leads.
+    """Assigns versions to changes and commits them while this process leads.
 
-    `voters`: names to addresses. `check` raises EntryError for a change that can't be distributed.
+    `voters` maps the voters' names to their addresses. `check` raises EntryError for a change that cannot be
+    distributed.
     """
 
     def __init__(
@@ -134,28 +142,28 @@
         self.bounds = bounds
         self.store = store
         self.check = check
-        self.term = 0  # in which this one leads; 0: it does not
+        self.term = 0  # the term in which this process leads; 0 while it does not
         self.term_began_at = 0
-        self.is_ready = False  # the store here has what the head names
+        self.is_ready = False  # the local store is at the register's head
         self.in_progress: Change | None = None
-        self.head_proposed = False  # that of the change in progress
+        self.head_proposed = False  # whether the head of the change in progress is proposed to the register
         self.last_change_at = 0
-        self.followers: dict[int, Follower] = {}  # by session
+        self.followers: dict[int, Follower] = {}  # by session number
         self.lost_followers: list[Follower] = []
         self.queue: list[QueuedCall] = []
-        self.pending_entries: dict[Key, Entry] = {}  # in progress or queued, over the catalogue
+        self.pending_entries: dict[Key, Entry] = {}  # accepted but not committed: in progress or queued
         self.waiting: list[WaitingCall] = []
-        self.call_versions: dict[Call, int] = {}  # of the calls of this term
-        self.asked_at: dict[int, int] = {}  # sessions, when they were asked for what is missing here
+        self.call_versions: dict[Call, int] = {}  # the versions that carry out the calls of this term
+        self.resync_requested_at: dict[int, int] = {}  # by session number
 
     # Terms.
 
     def leads(self, now: int) -> bool:
-        """Whether it has the lease and knows what is committed."""
+        """Returns whether this process holds the lease and its store is at the committed head."""
         return bool(self.is_ready and self.register.leads(now) and self.register.term() == self.term)
 
     def on_register_event(self, now: int) -> None:
-        """Whenever something came to the register's replica here, and on each tick."""
+        """Follows the register; called after each message to its local replica and on each tick."""
         if not self.register.leads(now):
             if self.term:
                 self.step_down()
@@ -173,7 +181,7 @@
             self.answer_calls(now)
 
     def step_down(self) -> None:
-        """Another process leads, or may soon. Operators' calls go on at the next leader."""
+        """Ends the term and all sessions. The followers send operators' calls again to the next leader."""
         self.term, self.is_ready, self.in_progress = 0, False, None
         for session in list(self.followers):
             self.host.end_session(session, "author no more")
@@ -181,14 +189,14 @@
         self.queue, self.pending_entries, self.waiting = [], {}, []
 
     def start_term(self, now: int) -> None:
-        """This process has the lease."""
+        """Starts a term in which this process holds the lease."""
         self.term, self.term_began_at = self.register.term(), now
         self.last_change_at = now - self.bounds.batch_interval
-        self.is_ready, self.call_versions, self.asked_at = False, {}, {}
+        self.is_ready, self.call_versions, self.resync_requested_at = False, {}, {}
         self.recover(now)
 
     def recover(self, now: int) -> None:
-        """Gets the head's content, from here or from any store that has it: its digest tells."""
+        """Brings the local store to the register's head, by the pending change or followers' content."""
         head, store = self.register.head(), self.store
         if store.head != head and (entries := store.commit(*head)) is not None:
             self.host.on_commit(entries)
@@ -196,24 +204,24 @@
             return self.become_ready()
         for session, follower in self.followers.items():
             is_ahead = follower.version > store.version or follower.pending_version > store.version
-            asked_at = self.asked_at.get(session, -self.bounds.heartbeat)
-            if is_ahead and now - asked_at >= self.bounds.heartbeat:
-                self.asked_at[session] = now
+            requested_at = self.resync_requested_at.get(session, -self.bounds.heartbeat)
+            if is_ahead and now - requested_at >= self.bounds.heartbeat:
+                self.resync_requested_at[session] = now
                 self.host.send(session, ResyncRequest(store.version))
 
     def become_ready(self) -> None:
-        """The store here is at the head."""
+        """Starts to serve, as the local store is at the head."""
         store, self.is_ready = self.store, True
-        # Guards against a change that no head names: it was never committed, and never will be.
+        # Guards against a pending change that the head does not name: it will never be committed.
         store.pending, store.term = None, max(store.term, self.term)
         self.host.log(f"distribution: author by ballot {self.term}, version {store.version}")
         for follower in self.followers.values():
             self.bring_up_to_date(follower)
 
-    # Sessions of stores: relays, and voters' own.
+    # Sessions of followers: relays' stores, and those of voters.
 
     def on_handshake(self, now: int, session: int, message: HandshakeRequest) -> None:
-        """A store wants to follow."""
+        """Accepts the session of a follower, or redirects it to the leader."""
         if not self.register.leads(now) or not self.term:
             address = self.voters.get(self.register.leader(), "")
             relays = [address] if address else []
@@ -231,7 +239,7 @@
         self.bring_up_to_date(follower)
 
     def replace_sessions_of(self, now: int, session: int, message: HandshakeRequest) -> bool:
-        """Ends other sessions of that name; False where one of them is of a later incarnation."""
+        """Ends other sessions of the same follower; False if one of them has a later incarnation."""
         for follower in list(self.followers.values()):
             if follower.name != message.name:
                 continue
@@ -243,14 +251,14 @@
         return True
 
     def adopt_views(self, follower: Follower) -> None:
-        """Takes over what was confirmed to the same process in sessions that were lost."""
-        own = follower.name, follower.incarnation
-        for lost in [lost for lost in self.lost_followers if (lost.name, lost.incarnation) == own]:
+        """Takes over the views that were confirmed to the same process in sessions that were lost."""
+        identity = follower.name, follower.incarnation
+        for lost in [lost for lost in self.lost_followers if (lost.name, lost.incarnation) == identity]:
             follower.views = lost.views
             self.lost_followers.remove(lost)
 
     def bring_up_to_date(self, follower: Follower) -> None:
-        """Sends what leads on from its version, and the change in progress."""
+        """Sends the changes after the follower's version, and the change in progress."""
         update = self.store.update_for(None, follower.version)
         if update is not None:
             self.host.send(follower.session, update)
@@ -259,14 +267,14 @@
             self.host.send(follower.session, Proposal(self.term, self.in_progress))
 
     def on_session_ended(self, now: int, session: int) -> None:
-        """The carrier has no such session any more."""
+        """Removes a session that the host has closed; its confirmed views stay known until they expire."""
         follower = self.followers.pop(session, None)
         if follower is not None and follower.views.oldest_version(now) is not None:
             self.lost_followers.append(follower)
         self.waiting = [call for call in self.waiting if call.session != session]
 
     def on_message(self, now: int, session: int, message: Message) -> None:
-        """One of a follower's."""
+        """Handles a message of a follower."""
         follower = self.followers.get(session)
         if follower is None:
             return
@@ -283,7 +291,7 @@
                 self.on_pending_elsewhere(now, message)
 
     def on_resync_request(self, follower: Follower, message: ResyncRequest) -> None:
-        """The follower misses something, or all."""
+        """Sends the changes after the requested version, or a snapshot (-1)."""
         follower.version = message.version
         if message.version < 0:
             self.host.send(follower.session, self.store.snapshot(None))
@@ -291,8 +299,8 @@
         self.bring_up_to_date(follower)
 
     def on_missing_content(self, now: int, message: Delta | Snapshot) -> None:
-        """What this store lacks of the head, perhaps."""
-        # Guards against content that is not of this history: nothing committed is beyond the head.
+        """Takes an update from a follower's store, which may bring the local store to the head."""
+        # Guards against uncommitted content: no committed version is later than the head.
         if self.term and message.version <= self.register.head()[0]:
             entries = self.store.take_update(message)
             if entries is not None:
@@ -300,14 +308,14 @@
             self.on_register_event(now)
 
     def on_pending_elsewhere(self, now: int, message: Proposal) -> None:
-        """What is pending in another store may be what the head names; otherwise it is dropped again."""
+        """Takes over the change that is pending in a follower's store, if the head names it."""
         change = message.change
         if (change.version, change.digest_after) == self.register.head():
             self.store.propose(max(message.term, self.store.term), change)
         self.on_register_event(now)
 
     def on_heartbeat(self, now: int, follower: Follower, message: Heartbeat) -> None:
-        """What a relay tells of itself may be what a change or a call waits for."""
+        """Takes in a relay's state; a change or a call may be waiting for it."""
         follower.on_heartbeat(now, message)
         if self.leads(now):
             self.confirm(now, follower, message)
@@ -317,7 +325,7 @@
             self.on_register_event(now)
 
     def confirm(self, now: int, follower: Follower, message: Heartbeat) -> None:
-        """Only under the lease; it has effect only at a store that is at just this version."""
+        """Confirms the follower's view, under the lease. A store at another version ignores this."""
         head = self.store.head
         follower.views.confirm(head[0], now + self.bounds.max_view_lifetime())
         reply = HeartbeatReply(
@@ -326,18 +334,18 @@
         self.host.send(follower.session, reply)
 
     def max_sessions(self) -> int:
-        """How many each relay may have: its even part and some more."""
+        """Returns the limit of sessions for each relay: the mean per relay times `load_factor`, plus 1."""
         nodes = sum(one.nodes + one.inactive_nodes + one.redirected_nodes for one in self.followers.values())
-        even_part = int(self.bounds.load_factor * nodes / max(len(self.followers), 1)) + 1
-        return max(even_part, self.bounds.min_sessions)
+        limit = int(self.bounds.load_factor * nodes / max(len(self.followers), 1)) + 1
+        return max(limit, self.bounds.min_sessions)
 
     # Changes.
 
     def on_call(self, now: int, session: int, name: str, message: OperatorCall) -> None:
-        """The same call may come several times: it is one change."""
+        """Accepts an operator's call. A call that is received several times is carried out once."""
         call = name, message.call_id
         if not self.leads(now):
-            return  # it comes again, or its caller's time runs out
+            return  # the follower sends the call again until it times out
         if not message.entries:
             return self.reply(session, message.call_id, f"SUCCESS {self.status()}")
         if any(waiting.call == call for waiting in self.waiting):
@@ -345,7 +353,7 @@
         if len(self.waiting) >= self.bounds.max_calls:
             return self.reply(session, message.call_id, "FAILURE too many calls under way")
         if call not in self.call_versions and call in self.store.calls:
-            self.call_versions[call] = self.store.calls[call]  # its answer was lost, perhaps with a leader
+            self.call_versions[call] = self.store.calls[call]  # committed, but the answer was lost
         if call not in self.call_versions:
             try:
                 self.enqueue(call, message.entries)
@@ -357,22 +365,22 @@
         self.answer_calls(now)
 
     def enqueue(self, call: Call, entries: list[Entry]) -> None:
-        """Raises EntryError for a change that can't be distributed."""
-        self.check(entries, self.entry_to_be, self.store.catalogue)
+        """Queues a call's entries. Raises EntryError for a change that cannot be distributed."""
+        self.check(entries, self.accepted_entry, self.store.catalogue)
         self.queue.append(QueuedCall(call, entries))
         self.pending_entries |= {entry.key: entry for entry in entries}
         self.call_versions[call] = NOT_PROPOSED
-        while len(self.call_versions) > REMEMBERED_CALLS * self.bounds.max_calls:
+        while len(self.call_versions) > REMEMBERED_CALLS_FACTOR * self.bounds.max_calls:
             del self.call_versions[next(iter(self.call_versions))]
 
-    def entry_to_be(self, key: Key) -> Entry | None:
-        """The entry of that key, once all that was accepted is committed."""
+    def accepted_entry(self, key: Key) -> Entry | None:
+        """Returns the entry that `key` will have once all accepted calls are committed."""
         if key in self.pending_entries:
             return self.pending_entries[key] if self.pending_entries[key].on else None
         return self.store.catalogue.get(key)
 
     def advance(self, now: int) -> None:
-        """Proposes the next change, or its head once a majority of the voters has the change."""
+        """Proposes the next change to the stores, or its head once a majority of voters has the change."""
         if (
             self.in_progress is None
             and self.queue
@@ -385,22 +393,22 @@
         if self.is_at_majority(change):
             self.head_proposed = True
             self.register.propose_head(now, change.version, change.digest_after)
-            if self.register.head() == (change.version, change.digest_after):  # this is the only voter
+            if self.register.head() == (change.version, change.digest_after):  # with a single voter: at once
                 self.commit(now)
 
     def is_at_majority(self, change: Change) -> bool:
-        """Whether the change is pending at a majority of the voters, of which this is one."""
-        own = change.version, self.term
-        at = {one.name for one in self.followers.values() if (one.pending_version, one.term) == own}
-        return len((at | {self.name}) & self.voters.keys()) > len(self.voters) // 2
+        """Returns whether the change is pending at a majority of the voters, including this process."""
+        wanted = change.version, self.term
+        names = {one.name for one in self.followers.values() if (one.pending_version, one.term) == wanted}
+        return len((names | {self.name}) & self.voters.keys()) > len(self.voters) // 2
 
     def propose(self, now: int) -> None:
-        """All that is queued becomes one change, which goes to the stores."""
+        """Combines all queued calls into one change and sends it to the stores."""
         queued, self.queue = self.queue, []
         calls = [one.call for one in queued]
         entries = [entry for one in queued for entry in one.entries]
         change = self.store.catalogue.make_change(entries, calls)
-        # What changes nothing is in force with what is committed already.
+        # Calls that change nothing are in force with the committed version.
         self.set_version(calls, change.version if change is not None else self.store.version)
         self.last_change_at, self.in_progress, self.head_proposed = now, change, False
         if change is None:
@@ -411,13 +419,13 @@
         self.send_to_all(Proposal(self.term, change))
 
     def set_version(self, calls: list[Call], version: int) -> None:
-        """The version in which these calls are carried out."""
+        """Records the version that carries out these calls."""
         for call in calls:
             self.call_versions[call] = version
         self.waiting = [one._replace(version=version) if one.call in calls else one for one in self.waiting]
 
     def commit(self, now: int) -> None:
-        """The register has committed the head of the change in progress."""
+        """Commits the change in progress, as the register has committed its head."""
         version, digest = self.register.head()
         entries = self.store.commit(version, digest)
         if entries is None:
@@ -428,28 +436,29 @@
         self.host.on_commit(entries)
 
     def send_to_all(self, message: Message) -> None:
-        """To all followers, encoded once."""
+        """Sends a message to all followers, encoded once."""
         encoded = EncodedMessage(message)
         for session in self.followers:
             self.host.send(session, encoded)
 
-    # What has become of calls.
+    # Answers to calls.
 
     def answer_calls(self, now: int) -> None:
-        """Answers the calls whose change is in force, or whose time has run out."""
+        """Answers the calls whose change is in force and those that have timed out."""
         if not self.waiting or not self.leads(now):
             return
-        by_version: dict[int, dict[str, int]] = {}  # many calls wait for one
+        by_version: dict[int, dict[str, int]] = {}  # computed once for the calls that wait for one version
         outcomes = [(call, text) for call in self.waiting if (text := self.outcome_of(now, call, by_version))]
         answered = {waiting.call for waiting, _ in outcomes}
         self.waiting = [waiting for waiting in self.waiting if waiting.call not in answered]
         for waiting, text in outcomes:
             self.reply(waiting.session, waiting.call[1], text)
 
-    def may_act_on_older(self, now: int, version: int) -> dict[str, int]:
-        """By whose confirmations a node may still act on an older version, and for how long yet.
+    def confirmers_of_older(self, now: int, version: int) -> dict[str, int]:
+        """Returns the relays by whose confirmations nodes may act on an older version, and for how long.
 
-        Ages add up, so whoever acts by a leader's confirmation can't once a view has run out since.
+        The durations are in tenths of a millisecond. Ages of views add up from the leader to the node, so no
+        node acts on a confirmation by the leader for longer than `max_view_lifetime`.
         """
         found = {}
         self.lost_followers = [
@@ -460,28 +469,31 @@
             if oldest is not None and oldest < version:
                 found[follower.name] = follower.views.last_expiry() - now
         remaining = self.term_began_at + self.bounds.max_view_lifetime() - now
-        if remaining > 0:  # relays of the leader before, which may not have been heard here
+        if remaining > 0:  # relays may hold confirmations of the previous leader that are unknown here
             found["the author before"] = remaining
         return found
 
     def outcome_of(self, now: int, call: WaitingCall, by_version: dict[int, dict[str, int]]) -> str:
-        """The answer to a call, or nothing yet. `by_version`: `may_act_on_older`, as far as it was asked."""
-        version, is_late = call.version, now >= call.deadline
+        """Returns the answer to a call; "" if it has to wait.
+
+        `by_version` caches the results of `confirmers_of_older`.
+        """
+        version, has_timed_out = call.version, now >= call.deadline
         if 0 <= version <= self.store.version:
             if version not in by_version:
-                by_version[version] = self.may_act_on_older(now, version)
+                by_version[version] = self.confirmers_of_older(now, version)
             confirmers = by_version[version]
             if not confirmers:
-                return self.in_force(version)
-            return self.not_in_force(version, confirmers) if is_late else ""
-        if not is_late:
+                return self.in_force_text(version)
+            return self.not_in_force_text(version, confirmers) if has_timed_out else ""
+        if not has_timed_out:
             return ""
         if version < 0:
             return "FAILURE not proposed yet, not known whether it will be kept"
         return f"FAILURE version {version} proposed, not known whether it is kept"
 
-    def in_force(self, version: int) -> str:
-        """Nobody may act on an older version, or none that is in touch does."""
+    def in_force_text(self, version: int) -> str:
+        """Returns the answer for a version on which all nodes act; without `strict`, all connected nodes."""
         followers = self.followers.values()
         nodes, inactive_nodes = (
             sum(one.nodes for one in followers),
@@ -493,18 +505,18 @@
         return f"SUCCESS version {version} in force at {where}, {inactive_nodes} shut out"
 
     @staticmethod
-    def not_in_force(version: int, confirmers: dict[str, int]) -> str:
-        """By whom nodes may act on an older version, and for how long at most."""
+    def not_in_force_text(version: int, confirmers: dict[str, int]) -> str:
+        """Returns the answer that names the relays whose nodes may act on an older version, and how long."""
         by = " ".join(sorted(confirmers)[:MAX_NAMED_RELAYS])
         remaining = f"for {max(confirmers.values()) / SECOND:.1f} s more"
         return f"FAILURE version {version} kept, nodes by {by} may act on {version - 1} {remaining}"
 
     def reply(self, session: int, call_id: int, text: str) -> None:
-        """To whoever passed the call on."""
+        """Sends an answer to the follower that forwarded the call."""
         self.host.send(session, OperatorReply(call_id, text))
 
     def status(self) -> str:
-        """Of the catalogue and each relay, as operators read it."""
+        """Returns the state of the catalogue and of each relay as text for operators."""
         followers = sorted(self.followers.values(), key=lambda one: one.name)
         rows = [f"{one.name} {one.version} {one.nodes} nodes {one.inactive_nodes} out" for one in followers]
         head, catalogue = f"author {self.name} ballot {self.term}", self.store.catalogue
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -286,10 +286,10 @@
 class Impatient(publisher.Publisher):
     """A new author does not wait out what the one before may have confirmed."""
 
-    def may_act_on_older(self, now, version):
+    def confirmers_of_older(self, now, version):
         self.term_began_at, began_at = -(1 << 60), self.term_began_at
         try:
-            return super().may_act_on_older(now, version)
+            return super().confirmers_of_older(now, version)
         finally:
             self.term_began_at = began_at
 
