--- a/basalthoist/distribution/relay.py
+++ b/basalthoist/distribution/relay.py
@@ -1,4 +1,7 @@
-"""The sessions of nodes at a store: each gets the entries of its scopes, its tenants, and every version."""
+"""A relay: serves a store to the sessions of nodes.
+
+Each node gets the entries of its scopes, the tenants that it requests, and every new version.
+"""
 
 from typing import Protocol
 
@@ -19,30 +22,30 @@
     TenantUpdate,
 )
 
-SECOND = 10_000  # tenths of a millisecond
-BURST = SECOND // 2  # what is allowed at once, as a time at the allowed rate
-NO_NAMES = -2  # in place of a version: older than any
-SILENT_TIMES = 2  # the time after which a node leaves a silent relay, until the relay ends its session
+SECOND = 10_000  # in tenths of a millisecond
+MAX_BURST = SECOND // 2  # units that take this long at the allowed rate are allowed at once
+NAMES_UNKNOWN = -2  # stands for a version, and is lower than any
+SILENCE_FACTOR = 2  # a relay ends a silent session after this multiple of the node's own silence timeout
 
 
 class RelayHost(SessionHost, Protocol):
-    """What a relay makes happen on its machine."""
+    """The environment of a relay: its sessions, and the leader session of the same process."""
 
     def unsent_bytes(self, session: int) -> int:
-        """Written to that session, and not taken by its peer."""
+        """Returns the number of bytes written to the session and not yet accepted by its peer."""
 
     def age(self, now: int) -> int:
-        """Of the store's view, in tenths of a millisecond."""
+        """Returns the age of the store's view, in tenths of a millisecond."""
 
     def max_sessions(self) -> int:
-        """As the leader allows here; 0: as many as come."""
+        """Returns the leader's limit of sessions for this relay; 0 stands for no limit."""
 
     def on_all_nodes_current(self, now: int) -> None:
-        """Nobody here may act on an older version any more."""
+        """Called when no node of this relay may act on a version older than the store's."""
 
 
 class NodeSession:
-    """A node that is connected."""
+    """The state of a connected node at its relay."""
 
     def __init__(self, number: int, message: HandshakeRequest, now: int) -> None:
         self.number = number
@@ -50,27 +53,30 @@
         self.incarnation = message.incarnation
         self.region = message.region
         self.scopes: tuple[str, ...] = tuple(sorted({"", *message.scopes}))
-        self.sent_version = message.version  # the latest
-        self.acting_version = message.version  # as the node has said
-        # The latest version of which the node knows all tenants' names.
-        self.names_version = message.version if message.knows_tenants else NO_NAMES
+        self.sent_version = message.version  # the latest version sent to the node
+        self.acting_version = message.version  # the version on which the node reports to act
+        # The latest version of which the node knows the names of all tenants.
+        self.names_version = message.version if message.knows_tenants else NAMES_UNKNOWN
         self.views = ConfirmedViews()
         self.heard_at = now
-        self.large_bytes = 0  # of snapshots and filters that may still be on their way
+        self.large_bytes = 0  # bytes of snapshots and filters that the node may not have received yet
         self.tenants: set[str] = set()
 
 
-class Pace:
-    """At most `per_s` units a second; a caller that is too early is told how long to wait."""
+class RateLimiter:
+    """Allows `per_s` units per second, and spreads out the retries of those over the limit."""
 
     def __init__(self, per_s: float, now: int) -> None:
         self.time_per_unit: float = SECOND / per_s
         self.free_at = float(now)
         self.next_turn = float(now)
 
-    def wait(self, now: int, longest: int) -> int:
-        """How long until it is the caller's turn; 0: at once."""
-        if self.free_at <= now + BURST:
+    def delay(self, now: int, longest: int) -> int:
+        """Reserves the next free time for a retry; returns the delay until then, 0 if allowed at once.
+
+        Once a delay would exceed `longest`, delays start again at the earliest free time.
+        """
+        if self.free_at <= now + MAX_BURST:
             return 0
         self.next_turn = max(self.next_turn, self.free_at)
         if self.next_turn > now + longest:
@@ -78,13 +84,13 @@
         self.next_turn += self.time_per_unit
         return max(int(self.next_turn) - now, 1)
 
-    def take(self, now: int, units: float = 1.0) -> None:
-        """Uses up so much."""
+    def consume(self, now: int, units: float = 1.0) -> None:
+        """Consumes `units` of the allowed rate."""
         self.free_at = max(self.free_at, now) + units * self.time_per_unit
 
 
 class Relay:
-    """Serves a store to nodes."""
+    """Serves a store to the sessions of nodes."""
 
     def __init__(
         self, host: RelayHost, name: str, incarnation: int, bounds: Bounds, store: Store, now: int
@@ -96,18 +102,18 @@
         self.store = store
         self.sessions: dict[int, NodeSession] = {}
         self.by_name: dict[str, NodeSession] = {}
-        self.tenant_sessions: dict[str, set[int]] = {}  # tenants, and the sessions that want them
-        self.lost_views: list[ConfirmedViews] = []  # of sessions that have ended
-        self.behind: set[int] = set()  # sessions that were sent a version and have not acted on it yet
-        self.session_pace = Pace(bounds.sessions_per_s, now)
-        self.byte_pace = Pace(bounds.snapshot_bytes_per_s, now)
-        self.redirected_at: dict[str, int] = {}  # nodes
+        self.tenant_sessions: dict[str, set[int]] = {}  # the sessions that requested each tenant
+        self.lost_views: list[ConfirmedViews] = []  # the views confirmed to sessions that have ended
+        self.behind: set[int] = set()  # sessions that do not act yet on a version that was sent to them
+        self.session_limiter = RateLimiter(bounds.sessions_per_s, now)
+        self.snapshot_limiter = RateLimiter(bounds.snapshot_bytes_per_s, now)
+        self.redirected_at: dict[str, int] = {}  # when each node was last redirected
         self.checked_at = now
 
-    # For the leader.
+    # State reported to the leader.
 
     def oldest_version(self, now: int) -> int:
-        """The least version that anybody may act on by what was confirmed here."""
+        """Returns the oldest version on which a node may act by a confirmation of this relay."""
         self.lost_views = [views for views in self.lost_views if views.oldest_version(now) is not None]
         found = [self.store.version]
         for views in [*self.lost_views, *(session.views for session in self.sessions.values())]:
@@ -117,7 +123,7 @@
         return min(found)
 
     def state(self, now: int) -> RelayState:
-        """What the leader is told."""
+        """Returns the state that is reported to the leader."""
         nodes = sum(session.views.oldest_version(now) is not None for session in self.sessions.values())
         since = now - self.bounds.heartbeat
         self.redirected_at = {name: at for name, at in self.redirected_at.items() if at > since}
@@ -127,7 +133,7 @@
     # Sessions.
 
     def on_handshake(self, now: int, number: int, message: HandshakeRequest) -> None:
-        """A node wants a session."""
+        """Accepts a node's session, or redirects the node."""
         if not self.replace_session_of(now, number, message):
             return
         max_sessions = self.host.max_sessions()
@@ -135,10 +141,10 @@
             self.redirected_at[message.name] = now
             return redirect(self.host, number, "enough are here", relays=self.other_relays(message))
         longest = self.bounds.max_backoff
-        wait = max(self.session_pace.wait(now, longest), self.byte_pace.wait(now, longest))
-        if wait:
-            return redirect(self.host, number, "too many at once", wait)
-        self.session_pace.take(now)
+        delay = max(self.session_limiter.delay(now, longest), self.snapshot_limiter.delay(now, longest))
+        if delay:
+            return redirect(self.host, number, "too many at once", delay)
+        self.session_limiter.consume(now)
         session = self.sessions[number] = self.by_name[message.name] = NodeSession(number, message, now)
         self.host.send(number, HandshakeReply(self.name, self.incarnation))
         store = self.store
@@ -147,7 +153,7 @@
         self.bring_up_to_date(now, session)
 
     def replace_session_of(self, now: int, number: int, message: HandshakeRequest) -> bool:
-        """Ends another session of that name; False where it is of a later incarnation."""
+        """Ends another session of the same node; False if that has a later incarnation."""
         other = self.by_name.get(message.name)
         if other is None:
             return True
@@ -159,7 +165,10 @@
         return True
 
     def other_relays(self, message: HandshakeRequest) -> list[str]:
-        """Those of its region first, each part in the node's own order: it may not know any of them."""
+        """Returns the addresses of the other relays, those of the node's region first.
+
+        Within a region and outside it they are in the node's own order. The node may know only its seeds.
+        """
         common = self.store.catalogue.scopes.get("", {}).values()
         relays = [entry for entry in common if entry.kind == "relay" and entry.name != self.name]
         places = [(e.body.get("region") != message.region, str(e.body.get("address", ""))) for e in relays]
@@ -167,12 +176,12 @@
         return [address for _, address in places]
 
     def bring_up_to_date(self, now: int, session: NodeSession) -> None:
-        """Sends what leads on from its version; nothing where it is ahead of the store here."""
+        """Sends the update from the session's version; nothing to a node that is ahead of this store."""
         if session.sent_version > self.store.version:
             return
         update = self.store.update_for(session.scopes, session.sent_version)
         is_snapshot = update is not None and type(update.message) is Snapshot
-        # Guards against a leap over tenants that came meanwhile: they would be refused.
+        # Guards against an update that skips tenants added meanwhile: the node would reject their requests.
         if session.names_version < session.sent_version or is_snapshot:
             self.send_tenant_filter(now, session)
         if update is None:
@@ -186,25 +195,28 @@
         session.sent_version = session.names_version = self.store.version
 
     def send_tenant_filter(self, now: int, session: NodeSession) -> None:
-        """Which tenants exist."""
+        """Sends the Bloom filter of the names of all tenants."""
         session.names_version = self.store.version
         self.send_large(now, session, self.store.filter_message())
 
     def send_large(self, now: int, session: NodeSession, message: EncodedMessage) -> None:
-        """Sends at once, and counts the bytes against the pace of snapshots."""
+        """Sends a snapshot or a filter at once, and counts its bytes against the limit for snapshots."""
         session.large_bytes += len(message)
-        self.byte_pace.take(now, len(message))
+        self.snapshot_limiter.consume(now, len(message))
         self.send(session, message)
 
     def send(self, session: NodeSession, message: Message | EncodedMessage) -> None:
-        """Guards against a node that reads slowly or stands still: the others do not wait for it."""
+        """Sends a message; ends the session instead if the node has too many unsent bytes.
+
+        Guards against a node that reads slowly or hangs: the other nodes do not wait for it.
+        """
         if self.host.unsent_bytes(session.number) > self.bounds.max_unsent_bytes + session.large_bytes:
             self.host.log(f"distribution: {session.name} reads too slowly, its session ends")
             return self.host.end_session(session.number, "too slow")
         self.host.send(session.number, message)
 
     def on_session_ended(self, now: int, number: int) -> None:
-        """The carrier has no such session any more."""
+        """Removes a session that the host has closed; its confirmed views stay known until they expire."""
         session = self.sessions.pop(number, None)
         if session is None:
             return
@@ -216,10 +228,10 @@
         if session.views.oldest_version(now) is not None:
             self.lost_views.append(session.views)
 
-    # From nodes.
+    # Messages of nodes.
 
     def on_message(self, now: int, number: int, message: Message) -> None:
-        """One of a session's."""
+        """Handles a message of a node."""
         session = self.sessions.get(number)
         if session is None:
             return
@@ -233,7 +245,7 @@
                 self.on_resync_request(now, session, message)
 
     def on_heartbeat(self, now: int, session: NodeSession, message: Heartbeat) -> None:
-        """The node says what it acts on; its view is confirmed."""
+        """Records the version on which the node acts, and confirms its view."""
         session.views.acknowledge(message.version)
         session.acting_version = max(session.acting_version, message.version)
         if message.version >= session.sent_version:
@@ -247,7 +259,7 @@
                 self.host.on_all_nodes_current(now)
 
     def confirm(self, now: int, session: NodeSession, message: Heartbeat) -> None:
-        """As old as the view here. It has effect only at a node that is at just this version."""
+        """Confirms the view with the age of this relay's own. A node at another version ignores this."""
         age, version = self.host.age(now), self.store.version
         remaining = self.bounds.stale - age
         if remaining > 0:
@@ -256,7 +268,7 @@
         self.send(session, HeartbeatReply(message.sent_at, version, digest, min(age, UNCONFIRMED_AGE)))
 
     def on_demand(self, session: NodeSession, message: TenantDemand) -> None:
-        """The tenants that the node wants entries of, now and as they change."""
+        """Subscribes the node to tenants, sends their entries, and unsubscribes it from released ones."""
         for name in message.released:
             if name in session.tenants:
                 session.tenants.discard(name)
@@ -269,24 +281,27 @@
             self.send(session, TenantUpdate(self.store.version, entries))
 
     def release_tenant(self, number: int, name: str) -> None:
-        """The session does not want it any more."""
+        """Unsubscribes a session from a tenant."""
         sessions = self.tenant_sessions.get(name, set())
         sessions.discard(number)
         if not sessions:
             self.tenant_sessions.pop(name, None)
 
     def on_resync_request(self, now: int, session: NodeSession, message: ResyncRequest) -> None:
-        """The node misses something, or all."""
-        if self.byte_pace.wait(now, self.bounds.max_backoff):
-            return  # it asks again
+        """Sends the changes after the requested version, or a snapshot (-1)."""
+        if self.snapshot_limiter.delay(now, self.bounds.max_backoff):
+            return  # over the limit: the node repeats its request
         session.sent_version = session.names_version = min(message.version, self.store.version)
         self.bring_up_to_date(now, session)
 
-    # Time, and the store.
+    # Commits and the timer.
 
     def on_commit(self, now: int, entries: list[Entry]) -> None:
-        """The store has a later version: all are sent it, tenants first, so that it says they have come."""
-        tenants: dict[int, list[Entry]] = {}  # by session
+        """Sends a new version to all sessions.
+
+        Tenants' entries go before the update, as a node that gets the update counts them as received.
+        """
+        tenants: dict[int, list[Entry]] = {}  # by session number
         for entry in entries:
             if entry.kind == TENANT:
                 for number in self.tenant_sessions.get(entry.name, ()):
@@ -299,10 +314,10 @@
             self.host.on_all_nodes_current(now)
 
     def on_tick(self, now: int) -> None:
-        """Guards against sessions whose peer has gone without a message."""
+        """Ends silent sessions: their nodes may be gone without closing the connection."""
         if now - self.checked_at < self.bounds.heartbeat:
             return
         self.checked_at = now
         for number, session in list(self.sessions.items()):
-            if now - session.heard_at > SILENT_TIMES * self.bounds.silent:
+            if now - session.heard_at > SILENCE_FACTOR * self.bounds.silent:
                 self.host.end_session(number, "silent")
--- a/basalthoist/distribution/sessions.py
+++ b/basalthoist/distribution/sessions.py
@@ -1,4 +1,4 @@
-"""What a leader and a relay share: the sessions that others have opened with them."""
+"""Definitions shared by the publisher and the relay, which both serve sessions that peers open."""
 
 from collections.abc import Sequence
 from typing import NamedTuple, Protocol
@@ -7,30 +7,33 @@
 
 
 class SessionHost(Protocol):
-    """Carries the messages. Sessions have the numbers that the carrier handed in."""
+    """Sends messages to sessions, which are identified by numbers that the host assigns."""
 
     def send(self, session: int, message: Message | EncodedMessage) -> None:
-        """To the peer of that session."""
+        """Sends a message to the peer of a session."""
 
     def end_session(self, session: int, reason: str) -> None:
-        """The owner learns of it by `on_session_ended`, later."""
+        """Closes a session. The host calls `on_session_ended` later."""
 
     def log(self, line: str) -> None:
-        """For operators."""
+        """Logs a line for operators."""
 
 
 class RelayState(NamedTuple):
-    """What a relay tells the leader of its sessions."""
+    """The state of a relay's sessions, as it is reported to the leader."""
 
-    oldest_version: int  # that anybody may act on by what was confirmed there
-    nodes: int  # whose view lets them act
-    inactive_nodes: int  # that may not act
-    redirected_nodes: int  # within the last heartbeat's interval
+    oldest_version: int  # the oldest version on which a node may act by a confirmation of the relay
+    nodes: int  # connected nodes whose confirmed view lets them act
+    inactive_nodes: int  # connected nodes that may not act
+    redirected_nodes: int  # nodes redirected to other relays within the last heartbeat interval
 
 
 def redirect(
     host: SessionHost, session: int, reason: str, retry_after: int = 0, relays: Sequence[str] = ()
 ) -> None:
-    """The session is not accepted; `retry_after` 0: the peer is to try others first."""
+    """Rejects a session and names other relays; with `retry_after` 0 the peer tries those first.
+
+    `retry_after` is in tenths of a millisecond.
+    """
     host.send(session, Redirect(retry_after, list(relays), reason))
     host.end_session(session, reason)
