--- a/basalthoist/distribution/catalogue.py
+++ b/basalthoist/distribution/catalogue.py
@@ -98,7 +98,7 @@
     def __init__(self, version: int = 0, entries: Iterable[Entry] = ()) -> None:
         self.version = version
         self.scopes: dict[str, dict[Key, Entry]] = {}
-        self.scope_sums: dict[str, int] = {}  # the sum of the entries' hashes for each scope
+        self.scope_hash_sums: dict[str, int] = {}  # the sum of the entries' hashes for each scope
         self.scope_bytes: dict[str, int] = {}  # the size of the encoded entries for each scope
         self.entries: dict[Key, Entry] = {}  # all entries except tenants
         self.tenants: dict[str, Entry] = {}
@@ -110,7 +110,7 @@
         """Returns an independent copy."""
         made = Catalogue(self.version)
         made.scopes = {scope: dict(entries) for scope, entries in self.scopes.items()}
-        made.scope_sums, made.scope_bytes = dict(self.scope_sums), dict(self.scope_bytes)
+        made.scope_hash_sums, made.scope_bytes = dict(self.scope_hash_sums), dict(self.scope_bytes)
         made.entries, made.tenants = dict(self.entries), dict(self.tenants)
         made.tenants_hash_sum = self.tenants_hash_sum
         return made
@@ -129,11 +129,11 @@
 
     def digest_of(self, scopes: Iterable[str]) -> bytes:
         """Returns the digest of the entries that `entries_in` returns for these scopes."""
-        return digest_bytes(sum(self.scope_sums.get(scope, 0) for scope in {"", *scopes}))
+        return digest_bytes(sum(self.scope_hash_sums.get(scope, 0) for scope in {"", *scopes}))
 
     def scopes_hash_sum(self) -> int:
         """Returns the sum of the hashes of all entries except tenants."""
-        return sum(self.scope_sums.values())
+        return sum(self.scope_hash_sums.values())
 
     def digest(self) -> bytes:
         """Returns the digest of the whole catalogue, tenants included."""
@@ -174,12 +174,14 @@
         scope = entry.scope
         del self.entries[entry.key], self.scopes[scope][entry.key]
         if not self.scopes[scope]:
-            del self.scopes[scope], self.scope_sums[scope], self.scope_bytes[scope]
+            del self.scopes[scope], self.scope_hash_sums[scope], self.scope_bytes[scope]
 
     def count(self, entry: Entry, sign: int) -> None:
         """Adds an entry to the sums of its scope (`sign` 1), or subtracts it (`sign` -1)."""
         data, scope = ENCODE(entry), entry.scope
-        self.scope_sums[scope] = (self.scope_sums.get(scope, 0) + sign * hash_encoded(data)) % DIGEST_MODULUS
+        self.scope_hash_sums[scope] = (
+            self.scope_hash_sums.get(scope, 0) + sign * hash_encoded(data)
+        ) % DIGEST_MODULUS
         self.scope_bytes[scope] = self.scope_bytes.get(scope, 0) + sign * len(data)
 
     def effective_entries(self, entries: Iterable[Entry]) -> list[Entry]:
