--- a/basalthoist/experiments/soak/broken.py
+++ b/basalthoist/experiments/soak/broken.py
@@ -64,14 +64,16 @@
     """A deduplicated request is sent again until its time is over, whatever the window."""
     from basalthoist.decisions.retry import RetryPolicy
 
-    replace(RetryPolicy, "remembered_for", lambda self, request, ran, now: int(request.route.is_deduplicated))
+    replace(
+        RetryPolicy, "dedup_time_left", lambda self, request, ran, now: int(request.route.is_deduplicated)
+    )
 
 
 def refuses_what_ran() -> None:
     """Whatever is given up is called harmless to try again."""
     from basalthoist.decisions.retry import RetryPolicy
 
-    replace(RetryPolicy, "harmless_after", lambda self, request, now: 0)
+    replace(RetryPolicy, "safe_retry_after", lambda self, request, now: 0)
 
 
 def forgets_drains() -> None:
@@ -143,8 +145,8 @@
     """Given up 0.8 s after the client's time."""
     from basalthoist.net.dispatcher import RequestDispatcher
 
-    before_end = RequestDispatcher.before_end
-    replace(RequestDispatcher, "before_end", lambda self, deadline: before_end(self, deadline) + 8000)
+    cap_deadline = RequestDispatcher.cap_deadline
+    replace(RequestDispatcher, "cap_deadline", lambda self, deadline: cap_deadline(self, deadline) + 8000)
 
 
 def sends_twice_at_once() -> None:
--- a/basalthoist/jsonrpc/front_end.py
+++ b/basalthoist/jsonrpc/front_end.py
@@ -64,7 +64,7 @@
         sock = listening_socket(address, self.limits.backlog)
         gives_back = self.descriptors.release
         self.listener = Listener(self.loop, self.timers, self.log, sock, self.open, gives_back)
-        self.listener.on_taken = self.check_drained
+        self.listener.on_connection_set_up = self.check_drained
         self.log(f"listening for JSON-RPC on {address[0]}:{address[1]}")
 
     def open(self) -> asyncio.Protocol:
@@ -81,7 +81,7 @@
         number, params = self.dispatcher.next_number(), bytes(call.params)
         came_at = caller.connection.came_at
         # Guards against a call that waited behind others here: its client has waited for it since it came.
-        deadline = self.dispatcher.before_end(came_at + timeout)
+        deadline = self.dispatcher.cap_deadline(came_at + timeout)
         request = JsonProxiedRequest(number, caller, call.method, params, deadline)
         request.came_at = came_at
         caller.request = request
