--- a/basalthoist/distribution/store.py
+++ b/basalthoist/distribution/store.py
@@ -1,4 +1,4 @@
-"""The catalogue at the committed version, at most one change that is pending, and the latest history."""
+"""The store of a relay process: the committed catalogue, at most one pending change, and the history."""
 
 from collections.abc import Iterable, Iterator
 from contextlib import suppress
@@ -10,14 +10,14 @@
 from .tenants import BloomFilter
 from .wire import Delta, EncodedMessage, OperatorCallVersion, Snapshot, TenantFilter
 
-LENGTH_BYTES, CHECKSUM_BYTES = 4, 16  # before a record in a file
-MAX_REMEMBERED_CALLS = 1024  # of operators
-TENANT_BYTES = 40  # of a tenant in a snapshot, roughly
+LENGTH_BYTES, CHECKSUM_BYTES = 4, 16  # the header of a record in a file
+MAX_REMEMBERED_CALLS = 1024  # committed calls of operators
+ESTIMATED_TENANT_BYTES = 40  # the size of a tenant in a snapshot
 Scopes = tuple[str, ...]
 
 
 class StoredCatalogue(msgspec.Struct, array_like=True):
-    """The first record of a file. Never proof: the digest of a head is."""
+    """The first record of a file. Only the digest of a committed head proves that it is committed."""
 
     fleet: str
     version: int
@@ -29,7 +29,7 @@
 
 
 class StoredChange(msgspec.Struct, array_like=True):
-    """A later record: a change that became pending since."""
+    """A later record: a change that became pending after the file was written."""
 
     term: int
     change: Change
@@ -41,17 +41,17 @@
 
 
 def checksum_of(data: bytes) -> bytes:
-    """What a record is checked by."""
+    """Returns the checksum of a record's data."""
     return blake2b(data, digest_size=CHECKSUM_BYTES).digest()
 
 
 def to_record(data: bytes) -> bytes:
-    """The data behind its length and checksum."""
+    """Returns the record of the data: its length, its checksum and the data."""
     return len(data).to_bytes(LENGTH_BYTES, "big") + checksum_of(data) + data
 
 
 def records_of(data: bytes) -> Iterator[bytes]:
-    """The data of each record of a file, as far as they are undamaged."""
+    """Yields the data of a file's records up to the first one that is damaged or incomplete."""
     position = 0
     while position + LENGTH_BYTES + CHECKSUM_BYTES <= len(data):
         checksum_at = position + LENGTH_BYTES
@@ -65,12 +65,15 @@
 
 
 def to_bytes(fleet: str, version: int, entries: list[Entry], digest: bytes) -> bytes:
-    """A node's file."""
+    """Returns the content of a node's file."""
     return to_record(ENCODE(StoredCatalogue(fleet, version, digest, entries)))
 
 
-def read(fleet: str, data: bytes) -> tuple[Catalogue, StoredCatalogue] | None:
-    """The first record; None for one that is torn, of another fleet, or not what its own digest says."""
+def read_catalogue(fleet: str, data: bytes) -> tuple[Catalogue, StoredCatalogue] | None:
+    """Reads the first record of a file.
+
+    Returns None if the record is damaged, belongs to another fleet or does not match its digest.
+    """
     try:
         stored = DECODE_CATALOGUE(next(iter(records_of(data)), b""))
     except (msgspec.DecodeError, RecursionError):
@@ -80,30 +83,33 @@
 
 
 def from_bytes(fleet: str, data: bytes) -> Catalogue | None:
-    """From a node's file; None as in `read`."""
-    found = read(fleet, data)
+    """Returns the catalogue of a node's file, or None as `read_catalogue` does."""
+    found = read_catalogue(fleet, data)
     return found[0] if found is not None else None
 
 
 class Store:
-    """What a relay's process keeps. `history_bytes`: how much of the latest changes is remembered."""
+    """The catalogue and the pending change of a relay process.
+
+    `history_bytes` limits the size of the recent changes that are remembered.
+    """
 
     def __init__(self, history_bytes: int, catalogue: Catalogue | None = None) -> None:
         self.catalogue = catalogue or Catalogue()
         self.history = History(history_bytes)
         self.digest: bytes = self.catalogue.digest()
-        self.term = 0  # in which the pending change was proposed
+        self.term = 0  # the term in which the pending change was proposed
         self.pending: Change | None = None
-        self.calls: dict[Call, int] = {}  # the latest that are committed, and in which version
-        self.must_rewrite = True  # the file does not lead to the version here
-        self.appended_bytes = 0  # since the file was written
+        self.calls: dict[Call, int] = {}  # the versions of the latest committed calls
+        self.must_rewrite = True  # the records of the file do not lead to the committed version
+        self.appended_bytes = 0  # the size of the records appended since the file was written
         self.tenant_filter: BloomFilter | None = None
-        self.encoded: dict[tuple, EncodedMessage] = {}  # of the committed version
+        self.encoded: dict[tuple, EncodedMessage] = {}  # cached messages of the committed version
         self.scope_digests: dict[Scopes, bytes] = {}
 
     @property
     def version(self) -> int:
-        """The committed one."""
+        """The committed version."""
         return self.catalogue.version
 
     @property
@@ -113,20 +119,23 @@
 
     @property
     def pending_version(self) -> int:
-        """Of the change that may not be committed yet; -1 for none."""
+        """The version of the pending change; -1 if there is none."""
         return self.pending.version if self.pending is not None else -1
 
-    # From the leader.
+    # Changes from the leader.
 
     def propose(self, term: int, change: Change) -> bool:
-        """Whether it is pending now. One of an earlier term does not take the place of a later one's."""
+        """Makes the change pending; returns whether it was accepted.
+
+        A change of an earlier term, or one that does not follow the committed version, is refused.
+        """
         if term < self.term or not self.catalogue.accepts(change):
             return False
         self.term, self.pending = term, change
         return True
 
     def commit(self, version: int, digest: bytes) -> list[Entry] | None:
-        """Commits the pending change: its entries, or None where it is another one."""
+        """Commits the pending change and returns its entries; None if it has another version or digest."""
         change = self.pending
         if change is None or (change.version, change.digest_after) != (version, digest):
             return None
@@ -135,19 +144,27 @@
         return change.entries
 
     def remember_calls(self, calls: Iterable[OperatorCallVersion]) -> None:
-        """Guards against a call that comes again, also to another leader, and would be carried out twice."""
+        """Remembers committed calls, so that no call is carried out twice, even by another leader."""
         for name, call_id, version in calls:
             self.calls.setdefault((name, call_id), version)
         while len(self.calls) > MAX_REMEMBERED_CALLS:
             del self.calls[next(iter(self.calls))]
 
     def remembered_calls(self) -> list[OperatorCallVersion]:
-        """As messages and files have them."""
+        """Returns the remembered calls in the form used in messages and files."""
         return [(*call, version) for call, version in self.calls.items()]
 
     def take_update(self, message: Snapshot | Delta) -> list[Entry] | None:
-        """What it changed, or None for one that is not newer or does not have the digest that it gives."""
-        entries = self.entries_of_delta(message) if isinstance(message, Delta) else self.entries_of(message)
+        """Applies an update and returns the entries that it changed.
+
+        Returns None for an update that is not newer, does not start at the committed version, or whose entries
+        do not match its digest.
+        """
+        entries = (
+            self.changes_of_delta(message)
+            if isinstance(message, Delta)
+            else self.changes_of_snapshot(message)
+        )
         if entries is None:
             return None
         self.apply(entries, message.version)
@@ -155,42 +172,42 @@
         self.must_rewrite = True
         return entries
 
-    def entries_of_delta(self, message: Delta) -> list[Entry] | None:
-        """What changes with it, or None as in `take_update`."""
+    def changes_of_delta(self, message: Delta) -> list[Entry] | None:
+        """Returns the entries that a delta changes, or None as `take_update` does."""
         if message.base_version != self.version or message.version <= self.version:
             return None
         entries = list({entry.key: entry for entry in message.entries}.values())
         return entries if self.catalogue.digest_with(entries) == message.digest else None
 
-    def entries_of(self, message: Snapshot) -> list[Entry] | None:
-        """What changes with it, or None as in `take_update`."""
-        # Guards against a snapshot that was long on its way: no version goes back.
+    def changes_of_snapshot(self, message: Snapshot) -> list[Entry] | None:
+        """Returns the entries that a snapshot changes, or None as `take_update` does."""
+        # Guards against a delayed snapshot: the version never goes back.
         if message.version < self.version or (message.version, message.digest) == self.head:
             return None
         other = Catalogue(message.version, message.entries)
         return self.catalogue.difference_to(other) if other.digest() == message.digest else None
 
     def apply(self, entries: list[Entry], version: int) -> None:
-        """The entries are committed, at that version."""
+        """Applies committed entries and sets the committed version."""
         base_version = self.version
         applied = self.catalogue.apply(entries, version)
         self.history.add(base_version, version, applied)
         self.digest = self.catalogue.digest()
         if self.pending is not None and not self.catalogue.accepts(self.pending):
             self.pending = None
-        self.record_names(applied)
+        self.update_tenant_filter(applied)
         self.encoded, self.scope_digests = {}, {}
 
-    def record_names(self, applied: list[AppliedEntry]) -> None:
-        """Which tenants exist has changed."""
+    def update_tenant_filter(self, applied: list[AppliedEntry]) -> None:
+        """Records added and removed tenants in the filter of tenants' names."""
         for entry, previous in applied:
             if entry.kind == TENANT and self.tenant_filter is not None:
                 self.tenant_filter.record(entry.name, entry.on, previous is not None)
 
-    # For those that are behind. `scopes` None: all of them, for another store.
+    # Updates for subscribers that are behind. `scopes` None stands for all scopes, for another store.
 
     def digest_of(self, scopes: Scopes | None) -> bytes:
-        """The digest that a subscriber of these scopes is to have."""
+        """Returns the digest that a subscriber of these scopes has at the committed version."""
         if scopes is None:
             return self.digest
         found = self.scope_digests.get(scopes)
@@ -199,9 +216,9 @@
         return found
 
     def update_for(self, scopes: Scopes | None, version: int) -> EncodedMessage | None:
-        """What leads on from that version: a delta or a snapshot, whichever is smaller.
+        """Returns the update from `version` to the committed one: a delta or a snapshot if that is smaller.
 
-        None for a subscriber that is up to date, or ahead.
+        Returns None for a subscriber that is up to date or ahead.
         """
         if version >= self.version:
             return None
@@ -212,7 +229,7 @@
         return self.encoded[key]
 
     def delta(self, scopes: Scopes | None, version: int) -> EncodedMessage | None:
-        """None where the history does not reach as far back, or a snapshot is smaller."""
+        """Returns the delta from `version`; None if `version` is not remembered or a snapshot is smaller."""
         keys = self.history.keys_since(scopes, version, self.version)
         if keys is None:
             return None
@@ -225,16 +242,16 @@
         return delta
 
     def estimated_snapshot_bytes(self, scopes: Scopes | None) -> tuple[int, int]:
-        """Bytes of the tenants' names that would go with a snapshot, and of both together."""
+        """Returns the size of the filter sent with a snapshot, and the estimated size of both, in bytes."""
         catalogue = self.catalogue
         if scopes is None:
-            return 0, sum(catalogue.scope_bytes.values()) + TENANT_BYTES * len(catalogue.tenants)
-        # A snapshot says nothing of which tenants exist: the filter would have to go with it.
+            return 0, sum(catalogue.scope_bytes.values()) + ESTIMATED_TENANT_BYTES * len(catalogue.tenants)
+            # A node's snapshot does not contain the names of tenants, so the filter is sent with it.
         names_bytes = len(self.filter_message()) if catalogue.tenants else 0
         return names_bytes, names_bytes + sum(catalogue.scope_bytes.get(scope, 0) for scope in {"", *scopes})
 
     def current_entry(self, key: Key, scopes: Scopes | None) -> Entry:
-        """What a subscriber of these scopes is told of a key that changed."""
+        """Returns the entry that a subscriber of these scopes gets for a changed key."""
         found = self.catalogue.get(key)
         if scopes is None:
             return found or Entry(*key, on=False)
@@ -243,7 +260,7 @@
         return found if found is not None and found.scope in ("", *scopes) else Entry(*key, on=False)
 
     def snapshot(self, scopes: Scopes | None) -> EncodedMessage:
-        """All entries of the scopes."""
+        """Returns the snapshot of all entries of the scopes."""
         key = scopes, -1
         if key not in self.encoded:
             catalogue = self.catalogue
@@ -254,7 +271,7 @@
         return self.encoded[key]
 
     def filter_message(self) -> EncodedMessage:
-        """Which tenants exist."""
+        """Returns the message with the filter of tenants' names."""
         if self.tenant_filter is None or self.tenant_filter.is_outdated():
             self.tenant_filter = BloomFilter.of_names(self.catalogue.tenants)
         key = "names", -1
@@ -264,36 +281,37 @@
         return self.encoded[key]
 
     def tenant_entries(self, names: Iterable[str]) -> list[Entry]:
-        """Their entries; one that is off for a tenant that does not exist."""
+        """Returns the tenants' entries; one with `on` False for each tenant that does not exist."""
         tenants = self.catalogue.tenants
         return [tenants.get(name) or Entry(TENANT, name, on=False) for name in names]
 
-    # On disk: the catalogue now and then, and behind it the changes that became pending since.
+    # The file: the catalogue, rewritten now and then, followed by the changes that became pending since.
 
     def to_bytes(self, fleet: str) -> bytes:
-        """The file anew."""
+        """Returns the content to rewrite the file with."""
         self.must_rewrite, self.appended_bytes = False, 0
         entries, calls = self.catalogue.all_entries(), self.remembered_calls()
         return to_record(ENCODE(StoredCatalogue(fleet, *self.head, entries, calls, self.term, self.pending)))
 
     def pending_record(self) -> bytes:
-        """The change that became pending last, to be appended to the file."""
-        # None where the change was refused, as of an earlier term: `replay` ends at such a record.
+        """Returns the record of the latest pending change, to be appended to the file."""
+        # `pending` is None if the change was refused, as of an earlier term: `replay` ends at such a record.
         record = to_record(ENCODE(StoredChange(self.term, self.pending)))  # type: ignore[arg-type]
         self.appended_bytes += len(record)
         return record
 
     def needs_rewrite(self) -> bool:
-        """Whether the file does not lead to the version here, or by too many changes."""
+        """Returns whether the file lacks the committed version or has grown too long to replay."""
         return self.must_rewrite or self.appended_bytes > self.history.max_bytes
 
     @classmethod
     def from_bytes(cls, fleet: str, data: bytes, history_bytes: int) -> "Store":
-        """Empty for a file that `read` does not take; else as far as its records are undamaged.
+        """Returns the store of a file, up to its first damaged record; empty if the first one is invalid.
 
-        A change is committed if a later one builds on it. The last one may be, or not: a head tells.
+        A change is committed if the change of a later record builds on it. The last change may be committed or
+        not, which only the register's head tells.
         """
-        found = read(fleet, data)
+        found = read_catalogue(fleet, data)
         store = cls(history_bytes, found[0] if found is not None else None)
         if found is None:
             return store
@@ -306,7 +324,10 @@
         return store
 
     def replay(self, records: list[bytes]) -> None:
-        """The changes of a file's later records. Raises DecodeError or RecursionError at a damaged one."""
+        """Replays the changes of a file's later records.
+
+        Raises DecodeError or RecursionError for a record that cannot be decoded.
+        """
         for record in records:
             step, previous = DECODE_CHANGE(record), self.pending
             if previous is not None and previous.digest_after == step.change.digest_before:
