--- a/basalthoist/distribution/store.py
+++ b/basalthoist/distribution/store.py
@@ -157,8 +157,8 @@
     def take_update(self, message: Snapshot | Delta) -> list[Entry] | None:
         """Applies an update and returns the entries that it changed.
 
-        Returns None for an update that is not newer, does not start at the committed version, or whose entries
-        do not match its digest.
+        Returns None for an update that is not newer, does not start at the committed version, or whose
+        entries do not match its digest.
         """
         entries = (
             self.changes_of_delta(message)
@@ -308,8 +308,8 @@
     def from_bytes(cls, fleet: str, data: bytes, history_bytes: int) -> "Store":
         """Returns the store of a file, up to its first damaged record; empty if the first one is invalid.
 
-        A change is committed if the change of a later record builds on it. The last change may be committed or
-        not, which only the register's head tells.
+        A change is committed if the change of a later record builds on it. Whether the last change is
+        committed, only the register's head tells.
         """
         found = read_catalogue(fleet, data)
         store = cls(history_bytes, found[0] if found is not None else None)
--- a/basalthoist/distribution/subscriber.py
+++ b/basalthoist/distribution/subscriber.py
@@ -1,4 +1,7 @@
-"""At a node: chooses a relay, keeps the entries of its scopes, proves them by digest, and knows their age."""
+"""The subscriber of a node: chooses a relay, and keeps the entries of the node's scopes up to date.
+
+Digests verify the entries, and confirmations from the leader bound their age.
+"""
 
 from typing import Protocol
 
@@ -23,27 +26,28 @@
 )
 
 MAX_RESYNCS_PER_HEARTBEAT = 2
-MAX_STALE_DOUBLINGS = 3  # of the time for which a relay's view may be stale
-MAX_PREFERRED_DOUBLINGS = 5  # of the time between two returns to the preferred relay
+MAX_STALE_DOUBLINGS = 3  # doublings of the time for which a relay's view may be stale
+MAX_PREFERRED_DOUBLINGS = 5  # doublings of the time between two returns to the preferred relay
 
 
 class SubscriberHost(ConnectionHost, Protocol):
-    """What a subscriber makes happen at its node."""
+    """The environment of a subscriber: its connection and its node."""
 
     def apply_entries(self, entries: list[Entry], version: int) -> None:
-        """These changed; from now on the node acts on that version."""
+        """Applies changed entries; the node acts on this version from now on."""
 
     def apply_tenant(self, name: str, body: dict | None) -> None:
-        """This is the tenant's entry from now on; None: it is not cached any more, or does not exist."""
+        """Applies a tenant's entry; `body` None if it is no longer cached or the tenant does not exist."""
 
     def log(self, line: str) -> None:
-        """For operators."""
+        """Logs a line for operators."""
 
 
 class Subscriber:
-    """A node's copy of its entries, kept in step by one relay.
+    """A node's copy of its entries, synchronized with one relay at a time.
 
-    `seeds`: relays' addresses to begin with. `hint`: what an earlier process had, of the same scopes.
+    `seeds` are the addresses of relays to start with. `hint` is the catalogue of a previous process with the
+    same scopes.
     """
 
     def __init__(
@@ -69,45 +73,48 @@
         self.random = random
         self.catalogue = hint or Catalogue(-1)
         self.connection = PeerConnection(host, bounds, random, now)
-        self.confirmed_at = DISTANT_PAST  # the view is as if the leader had confirmed it just then
+        self.confirmed_at = DISTANT_PAST  # the latest time at which the view is known to have been current
         self.tenants = TenantCache(self, bounds)
-        self.acting_version = self.version  # with the tenants that are cached, as of it
-        self.knows_tenants = False  # the filter of their names has come
-        self.fresh_at = now  # the view was fresh, or the session new
-        self.stale_checks = 0  # in a row in which a relay was left because its view was stale
-        self.avoided: dict[str, int] = {}  # relays, and until when they are not tried
-        self.suggested: list[str] = []  # relays to be tried next
-        self.preferred_at = now + self.draw_preferred_interval()  # the preferred relay is tried
+        self.acting_version = self.version  # the version of all entries here, cached tenants included
+        self.knows_tenants = False  # the filter of tenants' names has arrived
+        self.last_fresh_at = now  # when the view was last fresh or a session was accepted
+        self.consecutive_stale_relays = 0  # relays disconnected from in a row because their views were stale
+        self.avoided: dict[str, int] = {}  # relays not to connect to, and until when
+        self.suggested: list[str] = []  # relays to connect to next
+        self.preferred_at = now + self.draw_preferred_interval()  # when to return to the preferred relay
         self.preferred_failures = 0
         self.has_hint = hint is not None
         if hint is not None:
             host.apply_entries(hint.all_entries(), hint.version)
 
-    # Its view.
+    # The view.
 
     @property
     def version(self) -> int:
-        """Of the entries here; -1: none have come yet."""
+        """The version of the entries; -1 before any have arrived."""
         return self.catalogue.version
 
     def digest(self) -> bytes:
-        """Of the entries here, without tenants."""
+        """Returns the digest of the entries, without tenants."""
         return digest_bytes(self.catalogue.scopes_hash_sum())
 
     def age(self, now: int) -> int:
-        """In tenths of a millisecond: the version here was the latest at some moment within it."""
+        """Returns the age of the view in tenths of a millisecond: the version was the latest within it."""
         return min(now - self.confirmed_at, UNCONFIRMED_AGE)
 
     def may_forward_requests(self, now: int) -> bool:
-        """Whether the node may act on what is here."""
+        """Returns whether the node may act on its view, and so forward requests to backends."""
         if not self.bounds.strict:
             return self.has_hint or self.confirmed_at != DISTANT_PAST
         return self.age(now) <= self.bounds.stale
 
-    # Which relay.
+    # The choice of a relay.
 
     def relays(self) -> list[str]:
-        """Those of the own region first, each part in this node's own order (Thaler and Ravishankar 1998)."""
+        """Returns the relays' addresses, those of the node's own region first.
+
+        Each of both groups is in the node's own order by rendezvous hashing (Thaler and Ravishankar 1998).
+        """
         regions: dict[str, str | None] = {}
         for (kind, _), entry in self.catalogue.scopes.get("", {}).items():
             if kind == "relay" and entry.body.get("address"):
@@ -119,36 +126,39 @@
         )
 
     def choose_relay(self, now: int) -> str:
-        """Suggested ones come first: a node that knows only the seeds has to hear of the others."""
+        """Returns the address of the relay to connect to.
+
+        Suggested relays come first, as a node that knows only the seeds learns of other relays by redirects.
+        """
         self.avoided = {address: until for address, until in self.avoided.items() if until > now}
         relays = self.relays()
         candidates = [address for address in [*self.suggested, *relays] if address not in self.avoided]
         return (candidates or sorted(relays, key=lambda address: self.avoided[address]))[0]
 
-    def leave(self, now: int, reason: str) -> None:
-        """Another relay is tried."""
+    def leave_relay(self, now: int, reason: str) -> None:
+        """Disconnects from the relay and avoids it for `max_backoff`."""
         address = self.connection.address
-        self.host.log(f"distribution: left {address}, {reason}")
+        self.host.log(f"distribution: disconnected from relay {address}: {reason}")
         self.avoided[address] = now + self.bounds.max_backoff
         self.disconnect(now)
 
     def disconnect(self, now: int) -> None:
-        """Ends the connection from here."""
+        """Closes the connection."""
         self.host.close()
         self.on_disconnected(now)
 
     def on_disconnected(self, now: int) -> None:
-        """The connection has ended, or none came about."""
+        """Avoids the relay for a while after the connection has ended or could not be opened."""
         if self.connection.address:
             self.avoided.setdefault(self.connection.address, now + self.bounds.max_backoff)
         self.connection.on_disconnected(now)
 
     def draw_preferred_interval(self) -> int:
-        """Until the preferred relay is tried: spread, so that not all nodes move at once."""
+        """Returns a random time after which to return to the preferred relay; spreads out the nodes."""
         return int(self.bounds.preferred_relay_interval * (0.5 + self.random.uniform()))
 
     def return_to_preferred(self, now: int) -> None:
-        """To a relay that comes before this one: less and less often where these are full."""
+        """Moves to a relay preferred to the current one, less and less often while those are full."""
         self.preferred_at = now + (self.draw_preferred_interval() << self.preferred_failures)
         relays, address = self.relays(), self.connection.address
         preferred = relays[: relays.index(address)] if address in relays else relays
@@ -158,30 +168,32 @@
             self.preferred_failures = min(self.preferred_failures + 1, MAX_PREFERRED_DOUBLINGS)
             self.suggested = preferred
             self.disconnect(now)
-            del self.avoided[address]  # it may come back here at once
+            del self.avoided[address]  # the node may return to the relay that it leaves here
 
-    # Time.
+    # The timer.
 
     def on_tick(self, now: int) -> None:
-        """Connects, leaves a relay that is silent or behind, sends heartbeats."""
+        """Connects, disconnects from a relay that is silent or behind, and sends heartbeats and demands."""
         connection = self.connection
         if connection.may_open(now):
             connection.open(now, self.choose_relay(now))
         elif connection.address and connection.is_silent(now):
-            self.leave(now, "silent")
-        elif connection.is_established and not self.keep_session(now):
+            self.leave_relay(now, "silent")
+        elif connection.is_established and not self.maintain_session(now):
             return
         self.tenants.on_tick(now, connection.is_established)
 
-    def keep_session(self, now: int) -> bool:
-        """Sends a heartbeat if it is due; False where the relay is looked at instead, and perhaps left."""
+    def maintain_session(self, now: int) -> bool:
+        """Sends a heartbeat if it is due; returns False if the choice of relay was reconsidered instead."""
         if self.age(now) <= self.bounds.fresh:
-            self.fresh_at, self.stale_checks = now, 0
-        elif now - self.fresh_at > self.bounds.silent << min(self.stale_checks, MAX_STALE_DOUBLINGS):
-            # Guards against a relay that answers and is cut off or behind itself. Where all are, relays are
-            # left less and less often.
-            self.stale_checks += 1
-            self.leave(now, "behind")
+            self.last_fresh_at, self.consecutive_stale_relays = now, 0
+        elif now - self.last_fresh_at > self.bounds.silent << min(
+            self.consecutive_stale_relays, MAX_STALE_DOUBLINGS
+        ):
+            # Guards against a relay that answers but is itself cut off or behind. While all relays are,
+            # the node changes its relay less and less often.
+            self.consecutive_stale_relays += 1
+            self.leave_relay(now, "its view is stale")
             return False
         if now >= self.preferred_at:
             self.return_to_preferred(now)
@@ -191,19 +203,19 @@
         return True
 
     def send_heartbeat(self, now: int) -> None:
-        """Tells the relay what is acted on here."""
+        """Reports to the relay the version on which the node acts."""
         self.connection.send_heartbeat(Heartbeat(now, self.acting_version, self.digest()))
 
-    # From the relay.
+    # Messages of the relay.
 
     def on_connected(self, now: int) -> None:
-        """The connection is open; the session is not accepted yet."""
+        """Requests a session on the open connection."""
         self.connection.heard_at = now
-        own = self.name, self.incarnation, "node", self.region, self.scopes
-        self.host.send(HandshakeRequest(*own, self.version, self.digest(), self.knows_tenants))
+        identity = self.name, self.incarnation, "node", self.region, self.scopes
+        self.host.send(HandshakeRequest(*identity, self.version, self.digest(), self.knows_tenants))
 
     def on_message(self, now: int, message: Message) -> None:
-        """One that came on the connection."""
+        """Handles a message of the relay."""
         self.connection.heard_at = now
         match message:
             case HandshakeReply():
@@ -222,14 +234,14 @@
                 self.on_tenant_update(now, message)
 
     def on_accepted(self, now: int) -> None:
-        """The session is open. Tenants are asked for before a heartbeat says what is acted on here."""
+        """Requests tenants in the accepted session, before a heartbeat reports the version acted on."""
         self.connection.on_accepted()
-        self.fresh_at, self.suggested = now, []
+        self.last_fresh_at, self.suggested = now, []
         self.tenants.demand_all()
         self.send_heartbeat(now)
 
     def on_redirect(self, now: int, message: Redirect) -> None:
-        """The relay takes no session now: it names others, or when to come back."""
+        """Follows a redirect: to the relays that it names, or to the same relay after `retry_after`."""
         address = self.connection.address
         self.disconnect(now)
         self.avoided[address] = now + (message.retry_after or self.bounds.max_backoff)
@@ -241,7 +253,7 @@
             self.connection.next_attempt_at = now + min(message.retry_after, self.bounds.max_backoff)
 
     def on_heartbeat_reply(self, now: int, message: HeartbeatReply) -> None:
-        """Confirms the view if all that is here is as it says; asks for what is missing otherwise."""
+        """Confirms the view if entries and tenants are current; otherwise requests what is missing."""
         if message.version == self.version and message.digest == self.digest():
             if self.tenants.relay_was_behind:
                 self.tenants.demand_all()
@@ -252,17 +264,17 @@
             self.request_resync(now, -1 if message.version == self.version else self.version)
 
     def request_resync(self, now: int, version: int) -> None:
-        """Asks the relay for what came after that version."""
+        """Requests the changes after `version` from the relay, or a snapshot (-1)."""
         self.connection.request_resync(now, version, self.bounds.heartbeat // MAX_RESYNCS_PER_HEARTBEAT)
 
     def on_delta(self, now: int, message: Delta) -> None:
-        """Entries that changed, and names of tenants."""
+        """Applies changed entries and changed names of tenants."""
         if message.version <= self.version:
             return
         if message.base_version != self.version:
             return self.request_resync(now, self.version)
         entries = [entry for entry in message.entries if entry.kind != TENANT]
-        # Guards against a change put onto what it does not fit: all is asked for anew.
+        # Guards against a delta that does not fit the entries here: a snapshot replaces them.
         if self.catalogue.digest_with(entries) != message.digest:
             return self.request_resync(now, -1)
         for entry in message.entries:
@@ -271,8 +283,8 @@
         self.apply(now, entries, message.version)
 
     def on_snapshot(self, now: int, message: Snapshot) -> None:
-        """All entries."""
-        # Guards against a snapshot that was long on its way: no version goes back.
+        """Replaces all entries by those of a snapshot."""
+        # Guards against a delayed snapshot: the version never goes back.
         if message.version < self.version:
             return
         other = Catalogue(message.version, message.entries)
@@ -281,9 +293,9 @@
         self.apply(now, self.catalogue.difference_to(other), message.version)
 
     def apply(self, now: int, entries: list[Entry], version: int) -> None:
-        """The node acts on that version, and says so."""
+        """Applies entries to the node and reports the version."""
         self.catalogue.apply(entries, version)
-        # Guards against a version said to be acted on while a tenant's entry here may still be an older one.
+        # Guards against reporting a version while a cached tenant's entry may still be older.
         self.acting_version = self.acting_version if self.tenants.unconfirmed else version
         self.host.apply_entries(entries, version)
         self.send_heartbeat(now)
@@ -291,24 +303,24 @@
     # Tenants.
 
     def on_tenant_filter(self, message: TenantFilter) -> None:
-        """Which tenants exist; not from a relay that is behind."""
+        """Replaces the filter of tenants' names, unless the relay is behind."""
         if message.version >= self.version:
             self.knows_tenants = True
             self.tenants.on_filter(message)
 
     def on_tenant_update(self, now: int, message: TenantUpdate) -> None:
-        """Once the last of the cached ones has come, the version is acted on with all of them."""
-        some_unconfirmed = bool(self.tenants.unconfirmed)
+        """Caches tenants' entries; reports the version once all cached ones are up to date."""
+        had_unconfirmed = bool(self.tenants.unconfirmed)
         if not self.tenants.on_update(now, message, self.version):
             return
-        if some_unconfirmed and not self.tenants.unconfirmed:
+        if had_unconfirmed and not self.tenants.unconfirmed:
             self.acting_version = self.version
             self.send_heartbeat(now)
 
     def send_demand(self, message: TenantDemand) -> None:
-        """As host of the tenants' cache."""
+        """Sends a demand for the tenant cache."""
         self.host.send(message)
 
     def apply_tenant(self, name: str, body: dict | None) -> None:
-        """As host of the tenants' cache."""
+        """Applies a tenant's entry for the tenant cache."""
         self.host.apply_tenant(name, body)
--- a/basalthoist/distribution/wire.py
+++ b/basalthoist/distribution/wire.py
@@ -1,8 +1,8 @@
-"""The messages between leader, relays and nodes on a stream: MessagePack behind a length and a checksum.
+"""The messages between leader, relays and nodes on a stream: MessagePack after a length and a checksum.
 
-The checksum is keyed by the fleet's name: a message of another fleet counts as damaged and ends the
-connection. Times are the sender's own, whole tenths of a millisecond, and only ever come back to it. On the
-wire a message is an array: the order of its fields is its form, their names are free.
+The checksum is keyed with the fleet's name: a message of another fleet counts as damaged and ends the
+connection. Times are whole tenths of a millisecond on the sender's clock, and only the sender uses them.
+A message is encoded as an array: the order of its fields is fixed, their names are not sent.
 """
 
 from hashlib import blake2b
@@ -13,36 +13,37 @@
 
 from .catalogue import Change, Entry
 
-LENGTH_BYTES = 4  # of the length before a frame
-MAX_FRAME_BYTES = 64 * 1024 * 1024  # a snapshot of everything
-OperatorCallVersion = tuple[str, int, int]  # the caller's name, the call's id, the version that it became
+LENGTH_BYTES = 4  # the size of the length prefix of a frame
+MAX_FRAME_BYTES = 64 * 1024 * 1024  # enough for a snapshot of the whole catalogue
+OperatorCallVersion = tuple[str, int, int]  # the caller's name, the call's id, the version
 
 
 class HandshakeRequest(msgspec.Struct, array_like=True, tag=0):
-    """First on a connection, from whoever opens it. `role`: "node", or "relay" for a store.
+    """The first message on a connection, from the peer that opened it.
 
-    `version` and `digest` are those of the entries that it has, of its scopes, without tenants on demand.
+    `role` is "node", or "relay" for the store of a relay process. `version` and `digest` are those of the
+    sender's entries; those of a node leave out tenants, which it gets on demand.
     """
 
     name: str
     incarnation: int
     role: str
     region: str
-    scopes: list[str]  # of a node; a relay has all
+    scopes: list[str]  # the scopes of a node; empty from a relay, which has all
     version: int
     digest: bytes
-    knows_tenants: bool = False  # it has the filter of tenants' names as of that version
+    knows_tenants: bool = False  # the node has the filter of tenants' names as of this version
 
 
 class HandshakeReply(msgspec.Struct, array_like=True, tag=1):
-    """The session is accepted."""
+    """Accepts the session."""
 
     name: str
     incarnation: int
 
 
 class Redirect(msgspec.Struct, array_like=True, tag=2):
-    """Not here, or not yet: come back after so many tenths of a millisecond, or try these relays first."""
+    """Rejects the session: the peer is to retry after `retry_after`, or to try `relays` first."""
 
     retry_after: int
     relays: list[str]
@@ -50,29 +51,29 @@
 
 
 class Snapshot(msgspec.Struct, array_like=True, tag=3):
-    """All entries of the scopes asked for, at a version; what is not in it does not exist."""
+    """All entries of the subscriber's scopes at a version; entries that are not in it do not exist."""
 
     version: int
     digest: bytes
     entries: list[Entry]
-    calls: list[OperatorCallVersion] = []  # to stores: the latest operators' calls
+    calls: list[OperatorCallVersion] = []  # the latest committed calls; sent only to stores
 
 
 class Delta(msgspec.Struct, array_like=True, tag=4):
-    """What changed for this subscriber from one version to another: the last entry of each key.
+    """The changes for a subscriber from one version to another: the last entry for each changed key.
 
-    To a node a tenant's entry only says whether the tenant exists; its body goes by TenantUpdate.
+    In a delta to a node, a tenant's entry only tells whether the tenant exists; TenantUpdate has its body.
     """
 
     base_version: int
     version: int
-    digest: bytes  # of what the subscriber has after it, without tenants on demand
+    digest: bytes  # the subscriber's digest after the delta; a node's leaves out tenants
     entries: list[Entry]
     calls: list[OperatorCallVersion] = []
 
 
 class TenantFilter(msgspec.Struct, array_like=True, tag=5):
-    """Which tenants exist: a Bloom filter as of a version, in place of all names that came before."""
+    """A Bloom filter of the names of all tenants at a version; replaces all names sent before."""
 
     version: int
     bits: bytes
@@ -80,53 +81,53 @@
 
 
 class TenantDemand(msgspec.Struct, array_like=True, tag=6):
-    """Tenants whose entries a node wants from now on, and those that it no longer needs."""
+    """Tenants whose entries and changes a node requests, and those that it no longer needs."""
 
     requested: list[str]
     released: list[str]
 
 
 class TenantUpdate(msgspec.Struct, array_like=True, tag=7):
-    """In reply to a demand, and as they change: an entry with `on` false is a tenant that does not exist."""
+    """Entries of requested tenants, in reply to a demand and after changes; `on` False if there is none."""
 
     version: int
     entries: list[Entry]
 
 
 class Heartbeat(msgspec.Struct, array_like=True, tag=8):
-    """The version acted on here. From a relay also the oldest version that any of its nodes may act on."""
+    """Reports the version on which the sender acts; a relay also reports the state of its nodes."""
 
     sent_at: int
     version: int
     digest: bytes
-    oldest_version: int = -1
-    nodes: int = 0  # connected here, with a view that lets them act
-    inactive_nodes: int = 0  # connected here, and may not act until they are up to date
-    pending_version: int = -1  # of the change in the store that may not be committed yet
-    term: int = 0  # in which that change was proposed
-    redirected_nodes: int = 0  # sent on lately because there are enough here
+    oldest_version: int = -1  # the oldest version on which a node of the relay may act
+    nodes: int = 0  # connected nodes whose view lets them act
+    inactive_nodes: int = 0  # connected nodes that may not act until they are up to date
+    pending_version: int = -1  # the version of the store's pending change
+    term: int = 0  # the term in which that change was proposed
+    redirected_nodes: int = 0  # nodes recently redirected because the relay was at its limit of sessions
 
 
 class HeartbeatReply(msgspec.Struct, array_like=True, tag=9):
-    """Confirms a view. `sent_at` is the heartbeat's own; `age` that of the replier's view at this moment."""
+    """Confirms a view. `sent_at` is copied from the heartbeat; `age` is that of the replier's view."""
 
     sent_at: int
     version: int
     digest: bytes
     age: int
     term: int = 0
-    max_sessions: int = 0  # of a relay; 0: as many as come
+    max_sessions: int = 0  # the limit for the relay that gets the reply; 0 stands for no limit
 
 
 class Proposal(msgspec.Struct, array_like=True, tag=10):
-    """From the leader to stores: a change to keep, which is not committed yet."""
+    """Sent by the leader to stores: a change to store as pending."""
 
     term: int
     change: Change
 
 
 class CommitNotice(msgspec.Struct, array_like=True, tag=11):
-    """From the leader: the change of this version and digest is committed."""
+    """Sent by the leader: the change with this version and digest is committed."""
 
     term: int
     version: int
@@ -134,13 +135,13 @@
 
 
 class ResyncRequest(msgspec.Struct, array_like=True, tag=12):
-    """Something is missing here, or fails its digest: send what came after this version, or all (-1)."""
+    """Requests the changes after this version, or a snapshot (-1) if entries do not match their digest."""
 
     version: int
 
 
 class OperatorCall(msgspec.Struct, array_like=True, tag=13):
-    """An operator's change, passed on to the leader. Without entries it asks for the status."""
+    """An operator's change, forwarded to the leader. Without entries it requests the status."""
 
     call_id: int
     entries: list[Entry]
@@ -148,7 +149,7 @@
 
 
 class OperatorReply(msgspec.Struct, array_like=True, tag=14):
-    """What became of an operator's call."""
+    """The answer to an operator's call."""
 
     call_id: int
     text: str
@@ -177,7 +178,7 @@
 
 
 class EncodedMessage:
-    """A message that goes to many receivers, encoded once. Its length is that of the payload, in bytes."""
+    """A message encoded once for many receivers. Its length is that of the payload in bytes."""
 
     def __init__(self, message: Message) -> None:
         self.message = message
@@ -188,21 +189,24 @@
 
 
 def key_of(fleet: str) -> bytes:
-    """The key of the checksums in the fleet of that name."""
+    """Returns the key of the checksums in the fleet of that name."""
     return blake2b(fleet.encode(), digest_size=16, person=b"distribution").digest()
 
 
 def encode(key: bytes, message: Message | EncodedMessage) -> bytes:
-    """The frame of a message. Raises MessageError for one that no receiver takes."""
+    """Returns the frame of a message. Raises MessageError for one longer than receivers accept."""
     payload = message.data if type(message) is EncodedMessage else ENCODE(message)
     sealed = seal(key, payload)
     if len(sealed) > MAX_FRAME_BYTES:
-        raise MessageError(f"{type(message).__name__} of {len(payload)} bytes")
+        raise MessageError(
+            f"expected a frame of at most {MAX_FRAME_BYTES} bytes, "
+            f"got {type(message).__name__} of {len(payload)}"
+        )
     return len(sealed).to_bytes(LENGTH_BYTES, "big") + sealed
 
 
 class FrameDecoder:
-    """Cuts a stream into messages; `max_frame_bytes` may be changed as the sender becomes known."""
+    """Splits a stream into messages. `max_frame_bytes` may be changed once the sender is known."""
 
     def __init__(self, key: bytes, max_frame_bytes: int = MAX_FRAME_BYTES) -> None:
         self.key = key
@@ -210,15 +214,20 @@
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Message]:
-        """The messages that are complete. Raises MessageError for what no process of this fleet has sent."""
+        """Returns the messages that `data` completes.
+
+        Raises MessageError for data that no process of this fleet has sent.
+        """
         self.buffer += data
         messages, position = [], 0
         while len(self.buffer) - position >= LENGTH_BYTES:
             start = position + LENGTH_BYTES
             length = int.from_bytes(self.buffer[position:start], "big")
-            # Guards against a length that no message has: all of it would be waited for.
+            # Guards against waiting for the rest of a frame whose length no message has.
             if not CHECKSUM_BYTES < length <= self.max_frame_bytes:
-                raise MessageError(f"a frame of {length} bytes")
+                raise MessageError(
+                    f"expected a frame of {CHECKSUM_BYTES + 1} to {self.max_frame_bytes} bytes, got {length}"
+                )
             if len(self.buffer) < start + length:
                 break
             messages.append(open_sealed(self.key, bytes(self.buffer[start : start + length]), DECODER))
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -942,7 +942,7 @@
     for at in range(4, len(data) // 2):
         with pytest.raises(ValueError):
             FrameDecoder(key_of("one")).feed(data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :])
-    with pytest.raises(ValueError, match="a frame of"):
+    with pytest.raises(ValueError, match="expected a frame of 9 to 67108864 bytes, got 4294967295"):
         FrameDecoder(key_of("one")).feed(b"\xff" * 8)
 
 
