--- a/basalthoist/net/upstream/call.py
+++ b/basalthoist/net/upstream/call.py
@@ -1,4 +1,4 @@
-"""One request on its way to a backend."""
+"""A call to a backend: one attempt of a request, or one health check."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING
@@ -14,12 +14,13 @@
 
 OutcomeCallback = Callable[[Outcome, Message | None], None]
 BodySink = Callable[[bytes], None]
-ResponseStartCallback = Callable[[Message, int | None], BodySink | None]  # head, length of the body if known
+# Called with the head of a response and the length of its body, if known; returns what takes the body.
+ResponseStartCallback = Callable[[Message, int | None], BodySink | None]
 RequestChunks = Callable[[], list[bytes]]  # called in the turn of the event loop that writes the request
 
 
 class Call:
-    """One attempt of a request, or one health check; it is never sent again.
+    """One attempt of a request, or one health check. A call is never sent twice.
 
     `on_outcome` is called exactly once, and never from within `ConnectionPool.submit`.
     """
@@ -54,17 +55,17 @@
         self.pool: ConnectionPool = pool
         self.request_chunks: RequestChunks = request_chunks
         self.on_outcome: OutcomeCallback = on_outcome
-        # Whether anybody waits for the response; asked in the turn in which the request is written.
+        # Whether the response is still needed; called in the turn of the event loop that writes the request.
         self.is_wanted: Callable[[], bool] = is_wanted
-        self.is_health_check: bool = is_health_check  # no client is served by it, and it may be lost
+        self.is_health_check: bool = is_health_check  # no client waits for it, and it may be lost
         self.on_response_start: ResponseStartCallback | None = on_response_start  # for a streamed response
-        self.is_streaming: bool = is_streaming  # the response is streamed whatever its length
-        self.upload: Upload | None = upload  # a request body that is streamed
+        self.is_streaming: bool = is_streaming  # stream the response whatever its length
+        self.upload: Upload | None = upload  # the streamed body of the request
         self.connection: Connection | None = None
         self.timer: Timer | None = None
         self.finished: bool = False
         self.started_at: int = now()
-        self.first_byte_at: int = 0  # when the request was written, in tenths of a millisecond
+        self.first_byte_at: int = 0  # when writing of the request began, in tenths of a millisecond
 
     def finish(self, outcome: Outcome) -> None:
         """Ends the call without a response."""
@@ -79,7 +80,7 @@
             self.pool.upstream.loop.call_soon(self.on_outcome, outcome, None)
 
     def release(self) -> None:
-        """Lets go of timer, connection and upload."""
+        """Stops the timer and detaches the connection and the upload."""
         self.finished = True
         if self.timer is not None:
             self.timer.stop()
@@ -89,7 +90,7 @@
             self.upload.detach()
 
     def abandon(self, outcome: Outcome) -> None:
-        """Ends the call and its connection at once, so that no later attempt runs beside this one."""
+        """Ends the call and closes its connection at once, so that no later attempt runs beside this one."""
         if self.finished:
             return
         is_queued = self.connection is None
@@ -104,7 +105,7 @@
         self.finish_soon(outcome)
 
     def withdraw(self) -> bool:
-        """Abandons a call of which no byte is written; whether that was so, so that it never runs."""
+        """Abandons the call if no byte of it is written; returns whether it did: then the call never runs."""
         is_queued = not self.finished and self in self.pool.waiting
         if is_queued:
             self.abandon(Outcome.NOT_SENT)
--- a/basalthoist/net/upstream/connection.py
+++ b/basalthoist/net/upstream/connection.py
@@ -17,7 +17,8 @@
 if TYPE_CHECKING:
     from basalthoist.net.upstream.pool import ConnectionPool
 
-MAX_WRITE_TIME = SECOND // 10  # from a request's first byte to its last, which counts as written at the first
+# The limit from a request's first byte to its last. A request counts as written at its first byte.
+MAX_WRITE_TIME = SECOND // 10
 
 
 class Connection(asyncio.Protocol):
@@ -33,8 +34,10 @@
         self.reader.on_head = self.on_response_head
         self.reader.on_long_body = self.on_long_response
         self.reading_paused: bool = False  # the client reads the response too slowly
-        self.buffers_response: bool = False  # for a moment, as it may yet turn out to be short
-        self.writing: bool = False  # the event loop still has bytes of the request
+        self.buffers_response: bool = (
+            False  # a response of unknown length is buffered briefly: it may be short
+        )
+        self.writing: bool = False  # the event loop still holds bytes of the request
         self.aborted: bool = False
         self.idle_since: int = now()
         self.last_received_at: int = now()
@@ -42,17 +45,17 @@
     # Called by the event loop.
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Has the event loop report every unwritten byte."""
+        """Makes the event loop report whenever bytes are unwritten."""
         self.transport = transport
-        transport.set_write_buffer_limits(high=0)  # so that `pause_writing` means: bytes are unwritten
+        transport.set_write_buffer_limits(high=0)  # `pause_writing` is called as soon as bytes are unwritten
 
     def pause_writing(self) -> None:
-        """The event loop could not write everything."""
+        """Called by the event loop when it could not write everything."""
         self.writing = True
         self.apply_upload_backpressure(True)
 
     def resume_writing(self) -> None:
-        """The event loop has written everything."""
+        """Called by the event loop when it has written everything."""
         self.writing = False
         self.apply_upload_backpressure(False)
 
@@ -67,7 +70,7 @@
             return
         self.pool.last_received_at = self.last_received_at = now()
         if self.call is None:
-            return self.abort()  # a response without a request
+            return self.abort()  # the backend sent data without a request
         try:
             self.reader.feed(data, now())
             response = self.reader.next()
@@ -83,12 +86,12 @@
 
     def stop_buffering(self, call: Call) -> None:
         """Streams a response of unknown length that is still incomplete."""
-        # Guards against a deadline that cuts off a long response whose backend writes it slowly.
+        # Guards against a deadline that cuts off a long response written slowly by the backend.
         if self.call is call and not self.aborted and self.reader.has_body_of_unknown_length():
             self.reader.start_streaming(required=False)
 
     def on_response_head(self, response: Message, length: int | None) -> BodySink | None:
-        """Called by the reader with the head of each response."""
+        """Called by the reader with the head of each response; returns what takes a streamed body."""
         if self.call is None or not self.call.is_streaming:
             return None
         return self.on_long_response(response, length)
@@ -98,51 +101,51 @@
         call = self.call
         if call is None or call.on_response_start is None or response.status != 200:
             return None
-        call.timer.stop()  # a response that has begun has no deadline
+        call.timer.stop()  # a response that has started has no deadline
         self.pool.upstream.streaming.add(self)
         return call.on_response_start(response, length)
 
     def eof_received(self) -> None:
-        """The end of the connection may be the end of the response."""
+        """Ends the call if its response lasts until the end of the connection."""
         if self.call is not None and not self.aborted and (response := self.reader.end()) is not None:
             self.on_response_complete(response)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Ends the call that was in progress."""
+        """Ends the call in progress."""
         self.pool.on_connection_lost(self)
         if self.call is not None:
             self.call.finish(Outcome.CONNECT_FAILED if self.has_unwritten_bytes() else Outcome.RESET)
 
-    # Called by the pool and its calls.
+    # Called by the pool and by calls.
 
     def has_unwritten_bytes(self) -> bool:
-        """Whether bytes of the request are still here, so that it cannot have run."""
+        """Returns whether bytes of the request are unwritten, so that the backend cannot have run it."""
         return self.writing or self.call.upload is not None and not self.call.upload.complete
 
     def forward(self, chunks: list[bytes]) -> None:
-        """Writes more of a request body. A broken connection is reported by `connection_lost`."""
+        """Writes chunks of a request body. `connection_lost` reports a broken connection."""
         if not self.aborted and not self.transport.is_closing():
             self.transport.writelines(chunks)
 
     def apply_backpressure(self, active: bool) -> None:
-        """Pauses or resumes reading the response, as its client can take more of it or not."""
+        """Pauses reading the response while its client reads too slowly, and resumes it."""
         if not self.aborted and active != self.reading_paused:
             self.reading_paused = active
             self.last_received_at = now()
             (self.transport.pause_reading if active else self.transport.resume_reading)()
 
     def is_healthy(self) -> bool:
-        """Whether an idle connection is still open."""
-        # Guards against writing to a connection whose end has come but was not yet read.
+        """Returns whether an idle connection is still open."""
+        # Guards against writing to a connection that the backend has closed if the end is not read yet.
         if self.aborted or self.transport.is_closing():
             return False
         try:
             return not is_ready(self.sock.fileno(), select.POLLIN | select.POLLRDHUP)
         except (OSError, ValueError):
-            return False  # its socket is already closed
+            return False  # the socket is already closed
 
     def chunks_to_write(self, call: Call) -> list[bytes]:
-        """The request as it is written."""
+        """Returns the bytes of the request; called once, directly before they are written."""
         return call.request_chunks()
 
     def send(self, call: Call) -> None:
@@ -151,7 +154,7 @@
         call.connection = self
         self.buffers_response = False
         call.first_byte_at = now()
-        # Guards against a failing write that ends a decision half-way: some of it may be on its way.
+        # Guards against an exception that interrupts the caller half-way: part of the request may be sent.
         try:
             self.transport.writelines(self.chunks_to_write(call))
             if call.upload is not None:
@@ -165,24 +168,24 @@
             call.finish_soon(Outcome.RESET)
 
     def check_written(self, call: Call) -> None:
-        """Sets a limit to the time in which a large request is written."""
+        """Limits the time for writing a large request."""
         if self.is_still_writing(call):
-            left = max(call.first_byte_at + MAX_WRITE_TIME - now(), 0)
-            self.pool.upstream.timers.after(left, partial(self.abandon_unwritten, call))
+            remaining = max(call.first_byte_at + MAX_WRITE_TIME - now(), 0)
+            self.pool.upstream.timers.after(remaining, partial(self.abandon_unwritten, call))
 
     def abandon_unwritten(self, call: Call) -> None:
-        """Abandons a request that could not be written in time; it has not run."""
-        # Guards against a backend that works for a client which waits no more: the last byte would come long
-        # after the time that the first ones tell it.
+        """Abandons a request that could not be written in time; the backend has not run it."""
+        # Guards against a backend that works for a client that has given up: the timeout in the request's
+        # head would start long before its last byte arrives.
         if self.is_still_writing(call):
             call.abandon(Outcome.NOT_SENT)
 
     def is_still_writing(self, call: Call) -> bool:
-        """Whether this call is in progress here and not completely written."""
+        """Returns whether this call is in progress here and not completely written."""
         return self.call is call and self.writing and not self.aborted
 
     def on_response_complete(self, response: Message) -> None:
-        """Ends the call, and returns the connection to the pool if it can be used again."""
+        """Ends the call, and returns the connection to the pool if it is reusable."""
         call = self.call
         is_unwritten = self.has_unwritten_bytes()
         call.release()
@@ -193,7 +196,7 @@
         call.on_outcome(outcome_of(response), response)
 
     def fail(self, outcome: Outcome) -> None:
-        """Ends connection and call."""
+        """Ends the connection and its call."""
         self.abort()
         self.call.finish(outcome)
 
@@ -203,9 +206,9 @@
             return
         self.aborted = True
         self.pool.forget(self)
-        # Guards against a next attempt written before the end of this one: closing a transport waits for the
+        # Guards against sending the next attempt before this connection ends: a transport closes only in the
         # event loop's next turn.
-        with suppress(OSError):  # the other side was first
+        with suppress(OSError):  # the backend has already closed it
             self.sock.shutdown(socket.SHUT_RDWR)
         if not self.transport.is_closing():
             self.transport.abort()
--- a/basalthoist/net/upstream/load_report.py
+++ b/basalthoist/net/upstream/load_report.py
@@ -1,4 +1,4 @@
-"""What the response of a backend says: its load report, and how the attempt ended."""
+"""Reads the load report and the outcome of an attempt from a backend's response."""
 
 from basalthoist.decisions.interface import LoadReport, Outcome
 from basalthoist.net.framing import Message
@@ -6,9 +6,9 @@
 
 
 def parse_load_report(text: bytes | None) -> LoadReport | None:
-    """Parses a report such as `inflight=7,queue=2,util=0.61`; invalid figures are left out.
+    """Parses a report such as `inflight=7,queue=2,util=0.61`. Invalid figures are left out.
 
-    None where there is no valid figure.
+    Returns None if there is no valid figure.
     """
     if not text:
         return None
@@ -27,7 +27,7 @@
 
 
 def outcome_of(response: Message) -> Outcome:
-    """How the attempt ended that got this response."""
+    """Returns the outcome of the attempt that got this response."""
     if response.status == 200:
         return Outcome.COMPLETED
     if response.status in (503, 504) and response.get(b"not-started") == b"1":
--- a/basalthoist/net/upstream/pool.py
+++ b/basalthoist/net/upstream/pool.py
@@ -1,4 +1,4 @@
-"""All connections to one backend, and the calls that wait for one."""
+"""The connections to one backend, and the calls that wait for a connection."""
 
 import asyncio
 import errno
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from basalthoist.net.upstream.upstream import Upstream
 
-# Errors of socket and connect where this machine cannot connect, whatever the backend.
+# Errors of `socket` and `connect` that are caused by this machine, whatever the state of the backend.
 LOCAL_ERRORS = frozenset(
     (
         errno.EMFILE,
@@ -33,9 +33,9 @@
 
 
 class ConnectionPool:
-    """All connections to one backend. A connection that opens or becomes idle serves the oldest call.
+    """All connections to one backend. A new or idle connection takes the oldest waiting call.
 
-    Each call that is sent has been asked in the same turn of the event loop whether it is still wanted.
+    A call is sent only if `is_wanted` was true in the same turn of the event loop.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         self.upstream: Upstream = upstream
         self.name: str = name
         self.address: tuple[str, int] = address
-        self.started_at: int | None = started_at  # which incarnation of the backend it is
+        self.started_at: int | None = started_at  # identifies the backend's incarnation
         self.idle: list[Connection] = []  # in the order in which they became idle
         self.waiting: deque[Call] = deque()
         self.opening: set[asyncio.Task] = set()
@@ -52,7 +52,7 @@
         self.last_received_at: int = now()
 
     def submit(self, call: Call) -> None:
-        """Sends a call by an idle connection, or queues it for a new one."""
+        """Sends a call on an idle connection, or queues it for a new one."""
         if not call.is_wanted():
             return call.finish_soon(Outcome.NOT_SENT)
         connection = self.take_idle(self.upstream.settle_time)
@@ -64,19 +64,22 @@
         self.open_connection()
 
     def open_connection(self) -> None:
-        """Opens a connection for the newest waiting call, which fails where no descriptor is left."""
-        if not self.upstream.descriptors.acquire(self.upstream.close_idlest):
+        """Opens a connection for the newest waiting call, or fails that call if no descriptor is left."""
+        if not self.upstream.descriptors.acquire(self.upstream.close_longest_idle):
             self.upstream.log(f"no descriptor left for a connection to {self.name}")
             return self.waiting.pop().finish_soon(Outcome.NOT_SENT)
-        # A task for a connection, which many calls use in turn: the loop offers no callback for opening one.
+        # One task per connection, not per call: the event loop offers no callback for opening a connection.
         task = self.upstream.loop.create_task(self.connect())
         self.opening.add(task)
         task.add_done_callback(self.on_connect_done)
 
     def take_idle(self, settle_time: int) -> Connection | None:
-        """Takes the connection that became idle last, if it has been quiet for `settle_time` since."""
-        # Guards against serving the next request with what comes behind a response, a duplicate of it or
-        # noise, and against writing to a connection that the backend closes right after its response.
+        """Removes and returns the connection idle for the shortest time that is at least `settle_time`.
+
+        Returns None if there is none.
+        """
+        # Guards against taking data sent after a response, such as a duplicate of it, for the next response,
+        # and against writing to a connection that the backend closes right after its response.
         at = now()
         for connection in reversed(self.idle[:]):
             if connection.idle_since > at - settle_time:
@@ -88,7 +91,7 @@
         return None
 
     async def connect(self) -> Connection:
-        """Raises OSError, or TimeoutError after the connect timeout."""
+        """Opens a connection. Raises OSError, or TimeoutError after the connect timeout."""
         sock = socket.socket(family_of(self.address), socket.SOCK_STREAM)
         try:
             sock.setblocking(False)
@@ -102,12 +105,12 @@
             raise
 
     def on_connect_done(self, task: asyncio.Task) -> None:
-        """Uses a new connection, or fails the calls that no connection is left for."""
+        """Uses a new connection, or fails the calls that have no connection to wait for."""
         self.opening.discard(task)
         error = None if task.cancelled() else task.exception()
         if not task.cancelled() and error is None:
             connection = task.result()
-            if not connection.transport.is_closing():  # else it was lost as it opened
+            if not connection.transport.is_closing():  # else the connection was lost while it opened
                 self.last_received_at = now()
                 if (call := self.next_call()) is not None:
                     return connection.send(call)
@@ -132,7 +135,7 @@
         self.schedule_serve()
 
     def schedule_serve(self) -> None:
-        """Serves the waiting calls once the idle connections have settled."""
+        """Schedules `serve` for when the idle connections have settled."""
         if self.waiting and self.idle:
             self.upstream.timers.after(self.upstream.settle_time, self.serve)
 
@@ -146,12 +149,12 @@
         return None
 
     def withdraw_all(self) -> None:
-        """Withdraws the waiting calls, as nothing more may go to this incarnation of the backend."""
+        """Withdraws the waiting calls, as nothing more may be sent to this incarnation of the backend."""
         for call in list(self.waiting):
             call.withdraw()
 
     def serve(self) -> None:
-        """Sends waiting calls by connections that have settled; opens new ones where these have closed."""
+        """Sends waiting calls on settled connections, and opens new ones if some have closed."""
         while self.waiting and (connection := self.take_idle(self.upstream.settle_time)) is not None:
             if (call := self.next_call()) is None:
                 self.release(connection)
@@ -164,7 +167,7 @@
             self.discard_idle(now())
 
     def forget(self, connection: Connection) -> None:
-        """Removes a connection that is being closed."""
+        """Removes a closing connection from the pool."""
         self.upstream.streaming.discard(connection)
         if connection in self.idle:
             self.idle.remove(connection)
@@ -176,13 +179,13 @@
         self.upstream.descriptors.release()
 
     def discard_idle_if_silent(self, since: int) -> None:
-        """Discards older idle connections where the backend has sent nothing since."""
-        # Guards against the idle connections to a machine that was cut off: each would take an attempt that
-        # may have run, where a new connection fails without that risk.
+        """Closes the connections idle since `since` if the backend has sent nothing after that."""
+        # Guards against idle connections to a machine that was cut off: an attempt on each would end without
+        # it being known whether it ran, whereas a new connection fails before anything is sent.
         if self.last_received_at < since and now() - since >= self.upstream.connect_timeout_s * SECOND:
             self.discard_idle(since)
 
     def discard_idle(self, until: int) -> None:
-        """Closes the connections that have been idle since `until` or longer."""
+        """Closes the connections that became idle at or before `until`."""
         for connection in [c for c in self.idle if c.idle_since <= until]:
             connection.abort()
--- a/basalthoist/net/upstream/upstream.py
+++ b/basalthoist/net/upstream/upstream.py
@@ -15,7 +15,7 @@
 
 
 class Upstream:
-    """The pools of all listed backends. Times without a unit in their name: tenths of a millisecond."""
+    """The pools of all listed backends. Times are in tenths of a millisecond unless named otherwise."""
 
     def __init__(
         self,
@@ -34,18 +34,20 @@
         self.limits: Limits = limits
         self.connect_timeout_s: float = connect_timeout_s
         self.idle_timeout: int = int(idle_timeout_s * SECOND)
-        self.settle_time: int = int(limits.upstream_rest_s * SECOND)  # of a connection between two requests
+        self.settle_time: int = int(limits.upstream_rest_s * SECOND)  # between two requests on a connection
         self.response_buffer_time: int = int(limits.answer_hold_s * SECOND)
-        self.connection_type: type[Connection] = Connection  # by protocol
+        self.connection_type: type[Connection] = Connection  # replaced for protocols other than HTTP
         self.pools: dict[str, ConnectionPool] = {}
-        self.streaming: set[Connection] = set()  # those that stream a response, also of unlisted backends
-        descriptors.reclaimers.append(self.close_idlest)
+        self.streaming: set[Connection] = (
+            set()
+        )  # connections that stream a response, also of unlisted backends
+        descriptors.reclaimers.append(self.close_longest_idle)
         timers.every(SECOND, self.sweep)
 
     def learn(
         self, name: str, address: tuple[str, int], started_at: int | None, accepts_requests: bool = True
     ) -> None:
-        """Adds or updates a backend. Where it accepts none, requests of which no byte is written end."""
+        """Adds or updates a backend. If it accepts no requests, those not written yet are withdrawn."""
         pool = self.pools.get(name)
         if pool is not None and pool.address == address:
             if pool.started_at != started_at:
@@ -66,7 +68,7 @@
             pool.withdraw_all()
 
     def remove(self, name: str) -> None:
-        """Removes a backend that is no longer listed; calls in progress go on."""
+        """Removes a backend that is no longer listed; calls in progress continue."""
         if (pool := self.pools.pop(name, None)) is not None:
             self.close(pool)
 
@@ -88,7 +90,7 @@
         upload: Upload | None = None,
         is_wanted: Callable[[], bool] = lambda: True,
     ) -> Call | None:
-        """Starts a call that ends within `timeout`; None where the backend is not known."""
+        """Starts a call that ends within `timeout`; returns None if the backend is unknown."""
         pool = self.pools.get(name)
         if pool is None:
             return None
@@ -107,12 +109,12 @@
         return call
 
     def sweep(self) -> None:
-        """Closes connections that have been idle, or silent in a streamed response, for too long."""
+        """Closes connections that were idle, or silent during a streamed response, for too long."""
         silent_since = now() - int(self.limits.stream_silent_s * SECOND)
         for pool in self.pools.values():
             pool.discard_idle(now() - self.idle_timeout)
-        # Guards against a response that was begun and is never continued: no deadline ends it, nor does its
-        # backend's leaving the list.
+        # Guards against a streamed response that stops: it has no deadline, and continues even after its
+        # backend is removed.
         stalled = [
             connection
             for connection in self.streaming
@@ -121,8 +123,8 @@
         for connection in stalled:
             connection.fail(Outcome.RESET)
 
-    def close_idlest(self) -> bool:
-        """Closes the connection that has been idle for longest; false where there is none."""
+    def close_longest_idle(self) -> bool:
+        """Closes the connection that has been idle for longest; returns False if there is none."""
         idle = [pool.idle[0] for pool in self.pools.values() if pool.idle]
         if idle:
             min(idle, key=lambda connection: connection.idle_since).abort()
