--- a/basalthoist/distribution/catalogue.py
+++ b/basalthoist/distribution/catalogue.py
@@ -77,14 +77,14 @@
     return hash_encoded(ENCODE(entry)) if entry is not None and entry.on else 0
 
 
-def digest_bytes(total: int) -> bytes:
+def digest_bytes(hash_sum: int) -> bytes:
     """Returns the digest for a sum of hashes."""
-    return (total % DIGEST_MODULUS).to_bytes(DIGEST_BYTES, "big")
+    return (hash_sum % DIGEST_MODULUS).to_bytes(DIGEST_BYTES, "big")
 
 
-def is_identical(one: Entry | None, other: Entry) -> bool:
+def is_identical(entry: Entry | None, other: Entry) -> bool:
     """Returns whether two entries are equal and also have the same encoding, which 1 and 1.0 do not."""
-    return one == other and ENCODE(one) == ENCODE(other)
+    return entry == other and ENCODE(entry) == ENCODE(other)
 
 
 def removal_of(entry: Entry) -> Entry:
@@ -108,12 +108,12 @@
 
     def copy(self) -> "Catalogue":
         """Returns an independent copy."""
-        made = Catalogue(self.version)
-        made.scopes = {scope: dict(entries) for scope, entries in self.scopes.items()}
-        made.scope_hash_sums, made.scope_bytes = dict(self.scope_hash_sums), dict(self.scope_bytes)
-        made.entries, made.tenants = dict(self.entries), dict(self.tenants)
-        made.tenants_hash_sum = self.tenants_hash_sum
-        return made
+        duplicate = Catalogue(self.version)
+        duplicate.scopes = {scope: dict(entries) for scope, entries in self.scopes.items()}
+        duplicate.scope_hash_sums, duplicate.scope_bytes = dict(self.scope_hash_sums), dict(self.scope_bytes)
+        duplicate.entries, duplicate.tenants = dict(self.entries), dict(self.tenants)
+        duplicate.tenants_hash_sum = self.tenants_hash_sum
+        return duplicate
 
     def get(self, key: Key) -> Entry | None:
         """Returns the entry with this key, or None."""
@@ -141,10 +141,10 @@
 
     def digest_with(self, entries: Iterable[Entry]) -> bytes:
         """Returns the digest that the catalogue would have with these entries, which have distinct keys."""
-        total = self.scopes_hash_sum() + self.tenants_hash_sum
+        hash_sum = self.scopes_hash_sum() + self.tenants_hash_sum
         for entry in entries:
-            total += hash_of(entry) - hash_of(self.get(entry.key))
-        return digest_bytes(total)
+            hash_sum += hash_of(entry) - hash_of(self.get(entry.key))
+        return digest_bytes(hash_sum)
 
     def put(self, entry: Entry) -> Entry | None:
         """Adds, replaces or removes an entry, without a new version; returns the entry that was replaced."""
@@ -186,14 +186,14 @@
 
     def effective_entries(self, entries: Iterable[Entry]) -> list[Entry]:
         """Returns the last entry for each key, leaving out those that change nothing."""
-        found = []
+        effective = []
         for entry in {entry.key: entry for entry in entries}.values():
             previous = self.get(entry.key)
             if entry.on and not is_identical(previous, entry):
-                found.append(entry)
+                effective.append(entry)
             elif not entry.on and previous is not None:
-                found.append(removal_of(previous))
-        return found
+                effective.append(removal_of(previous))
+        return effective
 
     def make_change(self, entries: Iterable[Entry], calls: list[Call] | None = None) -> Change | None:
         """Returns the change to the next version by these entries; None if they change nothing."""
@@ -216,10 +216,10 @@
 
     def difference_to(self, other: "Catalogue") -> list[Entry]:
         """Returns the entries that turn this catalogue into the other."""
-        found = [entry for entry in other.all_entries() if not is_identical(self.get(entry.key), entry)]
-        found += [removal_of(entry) for key, entry in self.entries.items() if key not in other.entries]
-        found += [Entry(TENANT, name, on=False) for name in self.tenants if name not in other.tenants]
-        return found
+        difference = [entry for entry in other.all_entries() if not is_identical(self.get(entry.key), entry)]
+        difference += [removal_of(entry) for key, entry in self.entries.items() if key not in other.entries]
+        difference += [Entry(TENANT, name, on=False) for name in self.tenants if name not in other.tenants]
+        return difference
 
 
 class HistoryStep(NamedTuple):
@@ -243,8 +243,10 @@
 
     def add(self, base_version: int, version: int, applied: list[AppliedEntry]) -> None:
         """Adds a step, and drops the earliest steps beyond the size limit."""
-        size = STEP_OVERHEAD_BYTES + sum(len(ENCODE(one.entry)) for one in applied)
-        changed = [(scope, one.entry.key) for one in applied for scope in sorted(self.scopes_of(one))]
+        size = STEP_OVERHEAD_BYTES + sum(len(ENCODE(change.entry)) for change in applied)
+        changed = [
+            (scope, change.entry.key) for change in applied for scope in sorted(self.scopes_of(change))
+        ]
         for scope, key in changed:
             self.by_scope.setdefault(scope, deque()).append((version, key))
         self.steps.append(HistoryStep(base_version, version, size, changed))
@@ -283,10 +285,10 @@
         # removed again within that step are not recorded, so no delta can start there.
         if version not in self.base_versions:
             return None
-        found: dict[Key, None] = {}
+        keys: dict[Key, None] = {}
         for scope in list(self.by_scope) if scopes is None else {"", TENANT_NAMES, *scopes}:
             for changed, key in reversed(self.by_scope.get(scope, ())):
                 if changed <= version:
                     break
-                found[key] = None
-        return list(found)
+                keys[key] = None
+        return list(keys)
--- a/basalthoist/distribution/leader_session.py
+++ b/basalthoist/distribution/leader_session.py
@@ -131,7 +131,7 @@
 
     def on_connected(self, now: int) -> None:
         """Requests a session on the open connection."""
-        self.connection.heard_at = now
+        self.connection.last_received_at = now
         identity = self.name, self.incarnation, "relay", self.region
         self.host.send(HandshakeRequest(*identity, [], self.store.version, self.store.digest))
 
@@ -144,7 +144,7 @@
 
     def on_message(self, now: int, message: Message) -> None:
         """Handles a message of the peer."""
-        self.connection.heard_at = now
+        self.connection.last_received_at = now
         match message:
             case HandshakeReply():
                 self.on_accepted(now)
--- a/basalthoist/distribution/peer_connection.py
+++ b/basalthoist/distribution/peer_connection.py
@@ -34,7 +34,7 @@
         self.is_established = False  # the peer has accepted the session
         self.consecutive_failures = 0
         self.next_attempt_at = now
-        self.heard_at = now
+        self.last_received_at = now
         self.heartbeat_at = DISTANT_PAST
         self.resync_at = DISTANT_PAST
 
@@ -44,7 +44,7 @@
 
     def open(self, now: int, address: str) -> None:
         """Starts to connect to `address`."""
-        self.address, self.heard_at = address, now
+        self.address, self.last_received_at = address, now
         self.host.connect(address)
 
     def on_accepted(self) -> None:
@@ -56,7 +56,7 @@
 
         Detects a peer that hangs, or was cut off by the network without closing the connection.
         """
-        return now - self.heard_at > self.bounds.silent
+        return now - self.last_received_at > self.bounds.silent
 
     def is_heartbeat_due(self, now: int) -> bool:
         """Returns whether the session is accepted and its last heartbeat is at least one interval old."""
--- a/basalthoist/distribution/publisher.py
+++ b/basalthoist/distribution/publisher.py
@@ -95,7 +95,7 @@
         self.name = name
         self.incarnation = incarnation
         self.session = session
-        self.heard_at = now
+        self.last_received_at = now
         self.views = ConfirmedViews()
         self.version = -1
         self.pending_version = -1
@@ -106,7 +106,7 @@
 
     def on_heartbeat(self, now: int, message: Heartbeat) -> None:
         """Takes in the state that the relay reports."""
-        self.heard_at = now
+        self.last_received_at = now
         self.version = max(self.version, message.version)
         self.pending_version = message.pending_version
         self.term = message.term
@@ -335,7 +335,10 @@
 
     def max_sessions(self) -> int:
         """Returns the limit of sessions for each relay: the mean per relay times `load_factor`, plus 1."""
-        nodes = sum(one.nodes + one.inactive_nodes + one.redirected_nodes for one in self.followers.values())
+        nodes = sum(
+            follower.nodes + follower.inactive_nodes + follower.redirected_nodes
+            for follower in self.followers.values()
+        )
         limit = int(self.bounds.load_factor * nodes / max(len(self.followers), 1)) + 1
         return max(limit, self.bounds.min_sessions)
 
@@ -399,14 +402,18 @@
     def is_at_majority(self, change: Change) -> bool:
         """Returns whether the change is pending at a majority of the voters, including this process."""
         wanted = change.version, self.term
-        names = {one.name for one in self.followers.values() if (one.pending_version, one.term) == wanted}
+        names = {
+            follower.name
+            for follower in self.followers.values()
+            if (follower.pending_version, follower.term) == wanted
+        }
         return len((names | {self.name}) & self.voters.keys()) > len(self.voters) // 2
 
     def propose(self, now: int) -> None:
         """Combines all queued calls into one change and sends it to the stores."""
         queued, self.queue = self.queue, []
-        calls = [one.call for one in queued]
-        entries = [entry for one in queued for entry in one.entries]
+        calls = [queued_call.call for queued_call in queued]
+        entries = [entry for queued_call in queued for entry in queued_call.entries]
         change = self.store.catalogue.make_change(entries, calls)
         # Calls that change nothing are in force with the committed version.
         self.set_version(calls, change.version if change is not None else self.store.version)
@@ -422,7 +429,10 @@
         """Records the version that carries out these calls."""
         for call in calls:
             self.call_versions[call] = version
-        self.waiting = [one._replace(version=version) if one.call in calls else one for one in self.waiting]
+        self.waiting = [
+            waiting._replace(version=version) if waiting.call in calls else waiting
+            for waiting in self.waiting
+        ]
 
     def commit(self, now: int) -> None:
         """Commits the change in progress, as the register has committed its head."""
@@ -431,7 +441,9 @@
         if entries is None:
             return
         self.in_progress = None
-        self.pending_entries = {entry.key: entry for one in self.queue for entry in one.entries}
+        self.pending_entries = {
+            entry.key: entry for queued_call in self.queue for entry in queued_call.entries
+        }
         self.send_to_all(CommitNotice(self.term, version, digest))
         self.host.on_commit(entries)
 
@@ -460,18 +472,18 @@
         The durations are in tenths of a millisecond. Ages of views add up from the leader to the node, so no
         node acts on a confirmation by the leader for longer than `max_view_lifetime`.
         """
-        found = {}
+        confirmers = {}
         self.lost_followers = [
-            one for one in self.lost_followers if one.views.oldest_version(now) is not None
+            lost for lost in self.lost_followers if lost.views.oldest_version(now) is not None
         ]
         for follower in [*self.followers.values(), *self.lost_followers]:
             oldest = follower.views.oldest_version(now)
             if oldest is not None and oldest < version:
-                found[follower.name] = follower.views.last_expiry() - now
+                confirmers[follower.name] = follower.views.last_expiry() - now
         remaining = self.term_began_at + self.bounds.max_view_lifetime() - now
         if remaining > 0:  # relays may hold confirmations of the previous leader that are unknown here
-            found["the author before"] = remaining
-        return found
+            confirmers["the author before"] = remaining
+        return confirmers
 
     def outcome_of(self, now: int, call: WaitingCall, by_version: dict[int, dict[str, int]]) -> str:
         """Returns the answer to a call; "" if it has to wait.
@@ -496,8 +508,8 @@
         """Returns the answer for a version on which all nodes act; without `strict`, all connected nodes."""
         followers = self.followers.values()
         nodes, inactive_nodes = (
-            sum(one.nodes for one in followers),
-            sum(one.inactive_nodes for one in followers),
+            sum(follower.nodes for follower in followers),
+            sum(follower.inactive_nodes for follower in followers),
         )
         where = f"{nodes} nodes in touch by {len(followers)} relays"
         if not self.bounds.strict:
@@ -517,8 +529,11 @@
 
     def status(self) -> str:
         """Returns the state of the catalogue and of each relay as text for operators."""
-        followers = sorted(self.followers.values(), key=lambda one: one.name)
-        rows = [f"{one.name} {one.version} {one.nodes} nodes {one.inactive_nodes} out" for one in followers]
+        followers = sorted(self.followers.values(), key=lambda follower: follower.name)
+        rows = [
+            f"{follower.name} {follower.version} {follower.nodes} nodes {follower.inactive_nodes} out"
+            for follower in followers
+        ]
         head, catalogue = f"author {self.name} ballot {self.term}", self.store.catalogue
         size = f"{len(catalogue.entries)} entries {len(catalogue.tenants)} tenants"
         return f"{head} version {self.store.version} {size}: {', '.join(rows)}"
--- a/basalthoist/distribution/register_head.py
+++ b/basalthoist/distribution/register_head.py
@@ -33,8 +33,8 @@
 
     def head(self) -> tuple[int, bytes]:
         """Returns the committed version and digest, or NO_HEAD."""
-        found = self.replica.sets.applied.verdicts.get(KEY)
-        return (int(found.figure), bytes.fromhex(found.why)) if found is not None else NO_HEAD
+        verdict = self.replica.sets.applied.verdicts.get(KEY)
+        return (int(verdict.figure), bytes.fromhex(verdict.why)) if verdict is not None else NO_HEAD
 
     def propose_head(self, now: int, version: int, digest: bytes) -> None:
         """Proposes this head to the register."""
--- a/basalthoist/distribution/relay.py
+++ b/basalthoist/distribution/relay.py
@@ -58,7 +58,7 @@
         # The latest version of which the node knows the names of all tenants.
         self.names_version = message.version if message.knows_tenants else NAMES_UNKNOWN
         self.views = ConfirmedViews()
-        self.heard_at = now
+        self.last_received_at = now
         self.large_bytes = 0  # bytes of snapshots and filters that the node may not have received yet
         self.tenants: set[str] = set()
 
@@ -115,12 +115,12 @@
     def oldest_version(self, now: int) -> int:
         """Returns the oldest version on which a node may act by a confirmation of this relay."""
         self.lost_views = [views for views in self.lost_views if views.oldest_version(now) is not None]
-        found = [self.store.version]
+        versions = [self.store.version]
         for views in [*self.lost_views, *(session.views for session in self.sessions.values())]:
             oldest = views.oldest_version(now)
             if oldest is not None:
-                found.append(oldest)
-        return min(found)
+                versions.append(oldest)
+        return min(versions)
 
     def state(self, now: int) -> RelayState:
         """Returns the state that is reported to the leader."""
@@ -235,7 +235,7 @@
         session = self.sessions.get(number)
         if session is None:
             return
-        session.heard_at = now
+        session.last_received_at = now
         match message:
             case Heartbeat():
                 self.on_heartbeat(now, session, message)
@@ -319,5 +319,5 @@
             return
         self.checked_at = now
         for number, session in list(self.sessions.items()):
-            if now - session.heard_at > SILENCE_FACTOR * self.bounds.silent:
+            if now - session.last_received_at > SILENCE_FACTOR * self.bounds.silent:
                 self.host.end_session(number, "silent")
--- a/basalthoist/distribution/store.py
+++ b/basalthoist/distribution/store.py
@@ -84,8 +84,8 @@
 
 def from_bytes(fleet: str, data: bytes) -> Catalogue | None:
     """Returns the catalogue of a node's file, or None as `read_catalogue` does."""
-    found = read_catalogue(fleet, data)
-    return found[0] if found is not None else None
+    result = read_catalogue(fleet, data)
+    return result[0] if result is not None else None
 
 
 class Store:
@@ -210,10 +210,10 @@
         """Returns the digest that a subscriber of these scopes has at the committed version."""
         if scopes is None:
             return self.digest
-        found = self.scope_digests.get(scopes)
-        if found is None:
-            found = self.scope_digests[scopes] = self.catalogue.digest_of(scopes)
-        return found
+        digest = self.scope_digests.get(scopes)
+        if digest is None:
+            digest = self.scope_digests[scopes] = self.catalogue.digest_of(scopes)
+        return digest
 
     def update_for(self, scopes: Scopes | None, version: int) -> EncodedMessage | None:
         """Returns the update from `version` to the committed one: a delta or a snapshot if that is smaller.
@@ -252,12 +252,12 @@
 
     def current_entry(self, key: Key, scopes: Scopes | None) -> Entry:
         """Returns the entry that a subscriber of these scopes gets for a changed key."""
-        found = self.catalogue.get(key)
+        entry = self.catalogue.get(key)
         if scopes is None:
-            return found or Entry(*key, on=False)
+            return entry or Entry(*key, on=False)
         if key[0] == TENANT:
-            return Entry(*key, on=found is not None)
-        return found if found is not None and found.scope in ("", *scopes) else Entry(*key, on=False)
+            return Entry(*key, on=entry is not None)
+        return entry if entry is not None and entry.scope in ("", *scopes) else Entry(*key, on=False)
 
     def snapshot(self, scopes: Scopes | None) -> EncodedMessage:
         """Returns the snapshot of all entries of the scopes."""
@@ -311,11 +311,11 @@
         A change is committed if the change of a later record builds on it. Whether the last change is
         committed, only the register's head tells.
         """
-        found = read_catalogue(fleet, data)
-        store = cls(history_bytes, found[0] if found is not None else None)
-        if found is None:
+        result = read_catalogue(fleet, data)
+        store = cls(history_bytes, result[0] if result is not None else None)
+        if result is None:
             return store
-        stored = found[1]
+        stored = result[1]
         store.remember_calls(stored.calls)
         if stored.pending is not None:
             store.propose(stored.term, stored.pending)
--- a/basalthoist/distribution/subscriber.py
+++ b/basalthoist/distribution/subscriber.py
@@ -210,13 +210,13 @@
 
     def on_connected(self, now: int) -> None:
         """Requests a session on the open connection."""
-        self.connection.heard_at = now
+        self.connection.last_received_at = now
         identity = self.name, self.incarnation, "node", self.region, self.scopes
         self.host.send(HandshakeRequest(*identity, self.version, self.digest(), self.knows_tenants))
 
     def on_message(self, now: int, message: Message) -> None:
         """Handles a message of the relay."""
-        self.connection.heard_at = now
+        self.connection.last_received_at = now
         match message:
             case HandshakeReply():
                 self.on_accepted(now)
--- a/basalthoist/distribution/tenants.py
+++ b/basalthoist/distribution/tenants.py
@@ -34,11 +34,11 @@
     def of_names(names: Iterable[str]) -> "BloomFilter":
         """Returns a filter of these names, with `BITS_PER_NAME` bits for each."""
         names = list(names)
-        made = BloomFilter(bytearray(max(len(names) * BITS_PER_NAME // 8, MIN_FILTER_BYTES)), HASHES)
-        made.built_for = len(names)
+        bloom_filter = BloomFilter(bytearray(max(len(names) * BITS_PER_NAME // 8, MIN_FILTER_BYTES)), HASHES)
+        bloom_filter.built_for = len(names)
         for name in names:
-            made.add(name)
-        return made
+            bloom_filter.add(name)
+        return bloom_filter
 
     def positions(self, name: str) -> Iterable[int]:
         """Returns the positions of the bits that represent a name."""
