--- a/basalthoist/net/upstream/connection.py
+++ b/basalthoist/net/upstream/connection.py
@@ -34,9 +34,8 @@
         self.reader.on_head = self.on_response_head
         self.reader.on_long_body = self.on_long_response
         self.reading_paused: bool = False  # the client reads the response too slowly
-        self.buffers_response: bool = (
-            False  # a response of unknown length is buffered briefly: it may be short
-        )
+        # Whether a response of unknown length is being buffered, which is done briefly as it may be short.
+        self.buffers_response: bool = False
         self.writing: bool = False  # the event loop still holds bytes of the request
         self.aborted: bool = False
         self.idle_since: int = now()
@@ -206,8 +205,8 @@
             return
         self.aborted = True
         self.pool.forget(self)
-        # Guards against sending the next attempt before this connection ends: a transport closes only in the
-        # event loop's next turn.
+        # Guards against sending the next attempt before this connection ends: closing a transport waits for
+        # the event loop's next turn.
         with suppress(OSError):  # the backend has already closed it
             self.sock.shutdown(socket.SHUT_RDWR)
         if not self.transport.is_closing():
--- a/basalthoist/net/upstream/upstream.py
+++ b/basalthoist/net/upstream/upstream.py
@@ -38,9 +38,8 @@
         self.response_buffer_time: int = int(limits.answer_hold_s * SECOND)
         self.connection_type: type[Connection] = Connection  # replaced for protocols other than HTTP
         self.pools: dict[str, ConnectionPool] = {}
-        self.streaming: set[Connection] = (
-            set()
-        )  # connections that stream a response, also of unlisted backends
+        # Connections that stream a response, including those to backends that are no longer listed.
+        self.streaming: set[Connection] = set()
         descriptors.reclaimers.append(self.close_longest_idle)
         timers.every(SECOND, self.sweep)
 
