--- a/basalthoist/distribution/publisher.py
+++ b/basalthoist/distribution/publisher.py
@@ -246,7 +246,7 @@
             if follower.incarnation > message.incarnation:
                 redirect(self.host, session, "an older incarnation", self.bounds.max_backoff)
                 return False
-            self.host.end_session(follower.session, "another session of it")
+            self.host.end_session(follower.session, "replaced by a newer session")
             self.on_session_ended(now, follower.session)
         return True
 
--- a/basalthoist/distribution/relay.py
+++ b/basalthoist/distribution/relay.py
@@ -160,7 +160,7 @@
         if other.incarnation > message.incarnation:
             redirect(self.host, number, "a later incarnation of it is connected", self.bounds.max_backoff)
             return False
-        self.host.end_session(other.number, "another session of it")
+        self.host.end_session(other.number, "replaced by a newer session")
         self.on_session_ended(now, other.number)
         return True
 
@@ -212,7 +212,7 @@
         """
         if self.host.unsent_bytes(session.number) > self.bounds.max_unsent_bytes + session.large_bytes:
             self.host.log(f"distribution: {session.name} reads too slowly, its session ends")
-            return self.host.end_session(session.number, "too slow")
+            return self.host.end_session(session.number, "reads too slowly")
         self.host.send(session.number, message)
 
     def on_session_ended(self, now: int, number: int) -> None:
