--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -775,8 +775,8 @@
     ):
         leader_link.on_message(10_000, message)
     assert host.done == [] and store.version == 2
-    with_wrong_digest = Delta(2, 3, bytes(32), [route("y", "a")])
-    leader_link.on_message(10_001, with_wrong_digest)
+    # The entries do not match the digest.
+    leader_link.on_message(10_001, Delta(2, 3, bytes(32), [route("y", "a")]))
     assert host.sent(ResyncRequest) == [ResyncRequest(-1)]
     leader_link.on_message(20_000, Delta(5, 6, bytes(32), []))
     assert host.sent(ResyncRequest) == [ResyncRequest(-1), ResyncRequest(2)] and store.version == 2
