--- a/tests/test_distributed.py
+++ b/tests/test_distributed.py
@@ -1,4 +1,4 @@
-"""Configuration in versions on real processes: machines set aside, and nodes that act on it in service."""
+"""Distribution of configuration between real processes: relays, voters and nodes that serve requests."""
 
 import contextlib
 import json
@@ -31,7 +31,7 @@
 
 
 def toml(values):
-    """Values with tables last."""
+    """Returns values as TOML, tables last."""
     lines = [f"{key} = {json.dumps(value)}" for key, value in values.items() if not isinstance(value, dict)]
     for key, table in values.items():
         if isinstance(table, dict):
@@ -43,9 +43,9 @@
     def __init__(self, folder, name, listen, voters, **more):
         self.folder, self.name, self.address, self.admin = folder / name, name, listen, own_address()
         self.folder.mkdir()
-        told = {"fleet": FLEET, "role": "relay", "region": "a", "name": name, "listen": listen,
+        settings = {"fleet": FLEET, "role": "relay", "region": "a", "name": name, "listen": listen,
                 "admin": self.admin, "lease_s": 0.6, "beat_s": 0.1, "voters": voters}  # fmt: skip
-        (self.folder / "relay.toml").write_text(toml(TIMES | told | more))
+        (self.folder / "relay.toml").write_text(toml(TIMES | settings | more))
         self.process = None
         self.begin()
 
@@ -59,7 +59,7 @@
         self.process.kill()
         self.process.wait()
 
-    def ask(self, line):
+    def operator_call(self, line):
         with contextlib.suppress(OSError):
             return call(self.admin, line)
         return ""
@@ -69,22 +69,24 @@
 
 
 class Control:
-    """Three machines that vote, and one that only relays."""
+    """Three relays that vote, and one that does not."""
 
     def __init__(self, folder):
         listen = {f"r{number}": own_address() for number in range(4)}
         voters = {f"r{n}": {"address": listen[f"r{n}"], "register": own_address()} for n in range(3)}
         self.relays = [Relay(folder, name, at, voters) for name, at in listen.items()]
         self.nodes = []
-        wait_for(lambda: "r3 0" in self.relays[0].ask("config-status"), 15)
+        wait_for(lambda: "r3 0" in self.relays[0].operator_call("config-status"), 15)
 
     def set(self, subject, /, **body):
-        return self.relays[0].ask(f"config-set {subject} " + json.dumps(body, separators=(",", ":")))
-
-    def there(self, at=0):
-        """Relays, and how many nodes each has in touch."""
-        said = self.relays[at].ask("config-status")
-        rows = said.partition(": ")[2].strip().split(", ") if said.startswith("SUCCESS") else []
+        return self.relays[0].operator_call(
+            f"config-set {subject} " + json.dumps(body, separators=(",", ":"))
+        )
+
+    def connected_nodes(self, at=0):
+        """Returns the number of connected nodes of each relay."""
+        answer = self.relays[at].operator_call("config-status")
+        rows = answer.partition(": ")[2].strip().split(", ") if answer.startswith("SUCCESS") else []
         return {row.split()[0]: int(row.split()[2]) for row in rows}
 
     def close(self):
@@ -94,19 +96,19 @@
 
 @pytest.fixture
 def control(tmp_path):
-    made = Control(tmp_path)
-    yield made
-    made.close()
+    cluster = Control(tmp_path)
+    yield cluster
+    cluster.close()
 
 
 @pytest.fixture
 def node(start, tmp_path, control):
-    """A node of that control, with the backends named."""
+    """Returns a function that starts a node of these relays with the given backends."""
 
-    def begin(*behaviours, seeds=None, scopes=("shop",), told=None, **more):
+    def begin(*behaviours, seeds=None, scopes=("shop",), settings=None, **more):
         path = tmp_path / "distribution.toml"
         path.write_text(toml(TIMES | {"fleet": FLEET, "region": "a", "scopes": scopes, "seeds": seeds or [
-            relay.address for relay in control.relays]} | (told or {})))  # fmt: skip
+            relay.address for relay in control.relays]} | (settings or {})))  # fmt: skip
         environment = {"PROXY_DISTRIBUTION": str(path), "TMPDIR": str(tmp_path)}
         program, backends, _ = start(*behaviours, environment=environment, admin=own_address(), **more)
         program.backends = backends
@@ -115,20 +117,20 @@
     return begin
 
 
-def here(program):
+def config_here(program):
     return call(program.made["admin"], "config-here")
 
 
-def acts_on(program, version):
-    return f"SUCCESS version {version} " in here(program)
+def acts_on_version(program, version):
+    return f"SUCCESS version {version} " in config_here(program)
 
 
-def of(tenant, **more):
+def request_of(tenant, **more):
     return request(**more).replace(b"acme", tenant)
 
 
 @pytest.mark.parametrize(
-    ("more", "said"),
+    ("more", "error_text"),
     [
         ({"fleet": "a b"}, "fleet"), ({"seeds": []}, "seeds: expected addresses of relays"),
         ({"seeds": ["nowhere"]}, "seeds[0]: expected host"), ({"role": "relay"}, "role: expected 'node'"),
@@ -137,19 +139,19 @@
         ({"silent_s": 0.3}, "silent_s: expected at least two touches"), ({"colour": 1}, "colour"),
     ],
 )  # fmt: skip
-def test_a_wrong_file_of_a_node_is_refused_with_its_key(tmp_path, more, said):
+def test_invalid_node_file_rejected_naming_the_key(tmp_path, more, error_text):
     path = tmp_path / "distribution.toml"
     path.write_text(toml(TIMES | {"fleet": FLEET, "seeds": ["127.0.0.1:1"]} | more))
     with pytest.raises(ConfigurationError) as wrong:
         load_distribution({"PROXY_DISTRIBUTION": str(path)})
-    assert str(path) in str(wrong.value) and said in str(wrong.value)
+    assert str(path) in str(wrong.value) and error_text in str(wrong.value)
 
 
 VOTER = {"address": "127.0.0.1:1", "register": "127.0.0.1:2"}
 
 
 @pytest.mark.parametrize(
-    ("more", "said"),
+    ("more", "error_text"),
     [
         ({"name": ""}, "name: expected"), ({"listen": ""}, "listen: expected host:port"),
         ({"voters": {}}, "voters: expected"), ({"listen": "127.0.0.1:9"}, "listen: expected 127.0.0.1:1"),
@@ -158,7 +160,7 @@
         ({"beat_s": 1.0}, "beat_s: expected at most a quarter of lease_s"), ({"role": "node"}, "role"),
     ],
 )  # fmt: skip
-def test_a_wrong_file_of_a_relay_is_refused_with_its_key(tmp_path, more, said):
+def test_invalid_relay_file_rejected_naming_the_key(tmp_path, more, error_text):
     path = tmp_path / "relay.toml"
     usual = {"fleet": FLEET, "role": "relay", "name": "r0", "listen": "127.0.0.1:1", "voters": {"r0": VOTER}}
     path.write_text(toml(usual))
@@ -166,16 +168,16 @@
     path.write_text(toml(usual | more))
     with pytest.raises(ConfigurationError) as wrong:
         load_relay(str(path))
-    assert str(path) in str(wrong.value) and said in str(wrong.value)
+    assert str(path) in str(wrong.value) and error_text in str(wrong.value)
 
 
-def test_without_a_file_that_names_it_nothing_of_it_is_loaded():
+def test_distribution_not_imported_without_its_file():
     looks = "import sys, basalthoist.__main__, basalthoist.net.service, basalthoist.net.control.fleet\n"
     looks += "sys.exit(any('distribution' in name for name in sys.modules))"
     assert subprocess.run([sys.executable, "-c", looks]).returncode == 0
 
 
-def test_programs_refuse_a_wrong_file_by_one_line_and_exit_code_2(start, tmp_path):
+def test_programs_exit_with_code_2_on_invalid_file(start, tmp_path):
     path = tmp_path / "wrong.toml"
     path.write_text('fleet = "x"\nseeds = ["nowhere"]\n')
     program, _, _ = start(wait=False, environment={"PROXY_DISTRIBUTION": str(path)})
@@ -184,18 +186,18 @@
     assert ended.returncode == 2 and b"role: expected 'relay'" in ended.stderr
 
 
-def test_a_change_reaches_a_node_in_service_and_is_acted_upon(control, node):
+def test_node_in_service_applies_changes(control, node):
     program = node(reply(body=b"first"), reply(body=b"second"), silent)
-    said = control.set("service/shop")
-    assert said == "SUCCESS version 1 in force at 1 nodes in touch by 4 relays, 0 shut out\n"
-    assert acts_on(program, 1)
-    # A ban: nothing more is sent there.
+    answer = control.set("service/shop")
+    assert answer == "SUCCESS version 1 in force at 1 nodes in touch by 4 relays, 0 shut out\n"
+    assert acts_on_version(program, 1)
+    # A ban: no requests are sent to the backend.
     assert control.set("verdict/b0", kind="ban", subject="s-0").startswith("SUCCESS version 2 ")
     assert control.set("verdict/b2", kind="ban", subject="s-2").startswith("SUCCESS version 3 ")
     assert {program.ask(request(ident=str(i))).body for i in range(12)} == {b"second"}
-    # A route: its objective and overall timeout count for the next exchange.
+    # A route: its latency objective and overall timeout apply to the next request.
     for name in ("b0", "b2"):
-        assert control.relays[1].ask(f"config-drop verdict/{name}").startswith("SUCCESS version")
+        assert control.relays[1].operator_call(f"config-drop verdict/{name}").startswith("SUCCESS version")
     for number in range(2):
         assert control.set(f"verdict/only{number}", kind="ban", subject=f"s-{number}").startswith("SUCCESS")
     changed = control.set("route/shop/read", overall_timeout=200_000, latency_objective=100_000)
@@ -203,36 +205,36 @@
     untimed = request(ident="slow").replace(b"Request-Timeout-Ms: 800\r\n", b"")
     began = time.monotonic()
     assert program.ask(untimed).status in ("503", "504")
-    assert time.monotonic() - began < 0.6  # by its file it would have been 0.9 s
-    # A customer shut out, and let in again by the entry's end.
+    assert time.monotonic() - began < 0.6  # with the settings of the file the timeout would be 0.9 s
+    # A tenant banned, and admitted again once the entry is removed.
     assert control.set("verdict/shut", kind="customer", subject="acme").startswith("SUCCESS")
     assert program.ask(request(ident="shut")).status == "403"
-    assert control.relays[3].ask("config-drop verdict/shut").startswith("SUCCESS")
+    assert control.relays[3].operator_call("config-drop verdict/shut").startswith("SUCCESS")
     assert program.ask(request(ident="let")).status != "403"
 
 
-def test_a_node_fronts_some_services_and_holds_no_more(control, node):
+def test_node_has_only_entries_of_its_scopes(control, node):
     program = node(reply())
     for service in ("shop", "mail"):
         control.set(f"service/{service}")
         control.set(f"route/{service}/{service}-1", value=2.0)
-    assert acts_on(program, 4) and "2 entries 0 tenants" in here(program)
+    assert acts_on_version(program, 4) and "2 entries 0 tenants" in config_here(program)
 
 
-def test_operators_call_at_a_node_s_own_door(control, node):
+def test_operator_calls_at_admin_interface_of_node(control, node):
     program = node(reply())
-    ask = lambda line: call(program.made["admin"], line)  # noqa: E731
-    assert ask("config-set service/shop {}").startswith("SUCCESS version 1 in force at 1 nodes")
-    assert ask("config-drop service/shop").startswith("SUCCESS version 2 in force")
-    assert ask("config-status").startswith("SUCCESS author r")
-    assert ask("config-set service/shop {").startswith("FAILURE service/shop: ")
+    operator_call = lambda line: call(program.made["admin"], line)  # noqa: E731
+    assert operator_call("config-set service/shop {}").startswith("SUCCESS version 1 in force at 1 nodes")
+    assert operator_call("config-drop service/shop").startswith("SUCCESS version 2 in force")
+    assert operator_call("config-status").startswith("SUCCESS author r")
+    assert operator_call("config-set service/shop {").startswith("FAILURE service/shop: ")
     for relay in control.relays:
         relay.kill()
-    wait_for(lambda: ask("config-status") == "FAILURE no relay in reach\n")
+    wait_for(lambda: operator_call("config-status") == "FAILURE no relay in reach\n")
 
 
 @pytest.mark.parametrize(
-    ("subject", "body", "said"),
+    ("subject", "body", "expected"),
     [
         ("route/shop/read", {"overall_timeout": "2 s"},
          "FAILURE route/shop/read: Expected `int`, got `str` - at `$.overall_timeout`"),
@@ -246,7 +248,7 @@
         ("colour/red", {}, "FAILURE colour/red: expected KIND/NAME"),
     ],
 )  # fmt: skip
-def test_entries_are_checked_as_a_file_is(subject, body, said):
+def test_entries_are_validated_like_a_settings_file(subject, body, expected):
     from basalthoist.configuration import check_entries
     from basalthoist.distribution.catalogue import Catalogue, Entry, EntryError
     from basalthoist.net.control.catalogue_files import entry_of
@@ -254,158 +256,160 @@
     catalogue = Catalogue(1, [Entry("service", "shop", "shop")])
     with pytest.raises(EntryError) as wrong:
         check_entries([entry_of(subject, json.dumps(body))], catalogue.get, catalogue)
-    assert f"FAILURE {wrong.value}".startswith(said)
+    assert f"FAILURE {wrong.value}".startswith(expected)
 
 
-def test_a_faulty_change_is_refused_by_its_key_and_nothing_moves(control, node):
+def test_invalid_change_rejected_naming_the_key_without_new_version(control, node):
     program = node(reply())
     assert control.set("service/shop").startswith("SUCCESS version 1 ")
-    said = control.set("route/shop/read", overall_timeout="soon")
-    assert said.startswith("FAILURE route/shop/read: Expected `int`") and "overall_timeout" in said
-    assert control.set("service/shop").startswith("SUCCESS version 1 ")  # no news: no new version either
-    dropped = control.relays[0].ask("config-drop tenant/nobody")
+    answer = control.set("route/shop/read", overall_timeout="soon")
+    assert answer.startswith("FAILURE route/shop/read: Expected `int`") and "overall_timeout" in answer
+    assert control.set("service/shop").startswith("SUCCESS version 1 ")  # no change, so no new version
+    dropped = control.relays[0].operator_call("config-drop tenant/nobody")
     assert dropped.startswith("FAILURE tenant/nobody: there is none")
-    assert acts_on(program, 1) and "version 1 " in control.relays[2].ask("config-status")
+    assert acts_on_version(program, 1) and "version 1 " in control.relays[2].operator_call("config-status")
 
 
-class Speaker:
-    """Says words to a relay, and hears what it answers."""
+class RelayClient:
+    """A client that sends messages to a relay and reads its replies."""
 
     def __init__(self, relay, fleet=FLEET):
         self.key = key_of(fleet)
         self.sock = socket.create_connection(address_of(relay.address), timeout=5)
         self.frames = FrameDecoder(key_of(FLEET))
 
-    def say(self, *messages):
+    def send(self, *messages):
         for message in messages:
             self.sock.sendall(message if isinstance(message, bytes) else encode(self.key, message))
         return self
 
-    def hears(self):
-        """The first words, or [] for an end without any."""
+    def receive(self):
+        """Returns the first messages, or [] if the connection ends without any."""
         with contextlib.suppress(ConnectionResetError):
             while data := self.sock.recv(65536):
                 if messages := self.frames.feed(data):
                     return messages
         return []
 
-    def ended(self):
+    def connection_ended(self):
         with contextlib.suppress(ConnectionResetError):
             while self.sock.recv(65536):
                 pass
         return True
 
 
-def hello(life, name="n9", role="node"):
-    return HandshakeRequest(name, life, role, "a", [], -1, bytes(32))
+def handshake(incarnation, name="n9", role="node"):
+    return HandshakeRequest(name, incarnation, role, "a", [], -1, bytes(32))
 
 
-def test_a_stranger_an_old_life_and_another_fleet_are_refused(control):
+def test_relay_rejects_invalid_data_older_incarnation_and_other_fleet(control):
     relay = control.relays[3]
-    assert Speaker(relay).say(b"GET / HTTP/1.1\r\n\r\n" * 20).hears() == []
-    assert Speaker(relay, "other").say(hello(5)).hears() == []
-    torn = bytearray(encode(key_of(FLEET), hello(5)))
+    assert RelayClient(relay).send(b"GET / HTTP/1.1\r\n\r\n" * 20).receive() == []
+    assert RelayClient(relay, "other").send(handshake(5)).receive() == []
+    torn = bytearray(encode(key_of(FLEET), handshake(5)))
     torn[-1] ^= 1
-    assert Speaker(relay).say(bytes(torn)).hears() == []
-    assert Speaker(relay).say(hello(5, role="relay")).hears() == []  # r3 does not vote
-    assert Speaker(relay).say((1 << 31).to_bytes(4, "big")).hears() == []
-    assert Speaker(relay).hears() == []  # it says nothing, and is ended
-    first = Speaker(relay).say(hello(5))
-    assert type(first.hears()[0]) is HandshakeReply
-    second = Speaker(relay).say(hello(7))
-    assert type(second.hears()[0]) is HandshakeReply
-    assert first.ended()
-    [message] = Speaker(relay).say(hello(6)).hears()
+    assert RelayClient(relay).send(bytes(torn)).receive() == []
+    assert RelayClient(relay).send(handshake(5, role="relay")).receive() == []  # r3 is not a voter
+    assert RelayClient(relay).send((1 << 31).to_bytes(4, "big")).receive() == []
+    assert RelayClient(relay).receive() == []  # a connection on which nothing is sent is closed
+    first = RelayClient(relay).send(handshake(5))
+    assert type(first.receive()[0]) is HandshakeReply
+    second = RelayClient(relay).send(handshake(7))
+    assert type(second.receive()[0]) is HandshakeReply
+    assert first.connection_ended()
+    [message] = RelayClient(relay).send(handshake(6)).receive()
     assert type(message) is Redirect and "later incarnation" in message.reason
     assert relay.process.poll() is None and control.set("service/shop").startswith("SUCCESS version 1 ")
 
 
-def test_one_that_reads_nothing_is_ended_and_the_others_are_told_all_the_same(control):
+def test_client_that_reads_nothing_disconnected_and_others_answered(control):
     relay = control.relays[3]
     assert control.set("service/shop").startswith("SUCCESS")
-    deaf = Speaker(relay).say(HandshakeRequest("deaf", 5, "node", "a", ["shop"], -1, bytes(32)))
-    able = Speaker(relay).say(hello(5, "able"))
-    assert type(able.hears()[0]) is HandshakeReply
+    slow_reader = RelayClient(relay).send(
+        HandshakeRequest("slow-reader", 5, "node", "a", ["shop"], -1, bytes(32))
+    )
+    able = RelayClient(relay).send(handshake(5, "able"))
+    assert type(able.receive()[0]) is HandshakeReply
     for number in range(14):
         members = [f"127.0.0.1:{1 + (i + number) % 60000}" for i in range(40_000)]
-        able.say(OperatorCall(number, [Entry("backends", "all", "shop", {"members": members})], 0))
+        able.send(OperatorCall(number, [Entry("backends", "all", "shop", {"members": members})], 0))
         answered = []
         while not answered:
-            for speaker in (able, deaf):
-                speaker.say(Heartbeat(0, 1 << 40, bytes(32)))  # they hold back nobody
-            answered = [message for message in able.hears() if type(message) is OperatorReply]
+            for client in (able, slow_reader):
+                client.send(Heartbeat(0, 1 << 40, bytes(32)))  # acknowledges every version
+            answered = [message for message in able.receive() if type(message) is OperatorReply]
             time.sleep(0.01)
-        if "deaf" in relay.log():
+        if "slow-reader" in relay.log():
             break
-    assert "deaf reads too slowly" in relay.log()
-    deaf.sock.close()
+    assert "slow-reader reads too slowly" in relay.log()
+    slow_reader.sock.close()
 
 
-def test_a_machine_starts_with_a_torn_file_and_is_told_again(control):
+def test_relay_with_truncated_file_catches_up_after_restart(control):
     assert control.set("service/shop").startswith("SUCCESS version 1 ")
     assert control.set("tenant/zeta", quota_per_s=1.0).startswith("SUCCESS version 2 ")
     for relay in (control.relays[3], control.relays[2]):
-        kept = relay.folder / "distribution.msgpack"
-        wait_for(kept.exists)
+        store_file = relay.folder / "distribution.msgpack"
+        wait_for(store_file.exists)
         relay.kill()
-        kept.write_bytes(kept.read_bytes()[:30])
+        store_file.write_bytes(store_file.read_bytes()[:30])
         relay.begin()
-        wait_for(lambda r=relay: " version 2 " in r.ask("config-here"), 15)
+        wait_for(lambda r=relay: " version 2 " in r.operator_call("config-here"), 15)
 
 
-def test_nodes_of_a_relay_that_is_killed_go_to_another_and_nothing_is_lost(control, node):
+def test_nodes_of_killed_relay_reconnect_to_another(control, node):
     program = node(reply())
     for number, relay in enumerate(control.relays):
         control.set(f"relay/r{number}", address=relay.address, region="a")
-    assert acts_on(program, 4)
-    by = here(program).split(" by ")[1].split(",")[0]
+    assert acts_on_version(program, 4)
+    by = config_here(program).split(" by ")[1].split(",")[0]
     [own] = [relay for relay in control.relays if relay.address == by]
     own.kill()
     left = [relay for relay in control.relays if relay is not own]
-    wait_for(lambda: "SUCCESS version 5 in force" in left[0].ask("config-set service/shop {}"))
-    wait_for(lambda: acts_on(program, 5) and by not in here(program), 5)
+    wait_for(lambda: "SUCCESS version 5 in force" in left[0].operator_call("config-set service/shop {}"))
+    wait_for(lambda: acts_on_version(program, 5) and by not in config_here(program), 5)
     assert program.ask(request()).status == "200"
     own.begin()
-    wait_for(lambda: own.ask("config-status").startswith("SUCCESS author"), 10)
+    wait_for(lambda: own.operator_call("config-status").startswith("SUCCESS author"), 10)
 
 
-def test_a_tenant_that_is_not_held_is_served_at_once_and_then_by_its_quota(control, node):
+def test_uncached_tenant_served_at_once_and_removed_tenant_rejected(control, node):
     control.set("tenant/zeta", quota_per_s=5.0)
     program = node(reply(), settings_more={"accounts": []})
-    wait_for(lambda: acts_on(program, 1))
-    assert "0 tenants" in here(program)
-    assert program.ask(of(b"zeta", ident="a")).status == "200"
-    wait_for(lambda: "1 tenants" in here(program))
-    assert program.ask(of(b"nobody", ident="b")).status == "400"
+    wait_for(lambda: acts_on_version(program, 1))
+    assert "0 tenants" in config_here(program)
+    assert program.ask(request_of(b"zeta", ident="a")).status == "200"
+    wait_for(lambda: "1 tenants" in config_here(program))
+    assert program.ask(request_of(b"nobody", ident="b")).status == "400"
     assert program.ask(request(ident="c").replace(b"Tenant: acme\r\n", b"")).status == "400"
     control.set("tenant/theta", quota_per_s=1.0)
-    assert program.ask(of(b"theta", ident="d")).status == "200"  # there since a moment ago
-    assert control.relays[0].ask("config-drop tenant/zeta").startswith("SUCCESS")
-    wait_for(lambda: program.ask(of(b"zeta", ident="e")).status == "400")
+    assert program.ask(request_of(b"theta", ident="d")).status == "200"  # a tenant that was just added
+    assert control.relays[0].operator_call("config-drop tenant/zeta").startswith("SUCCESS")
+    wait_for(lambda: program.ask(request_of(b"zeta", ident="e")).status == "400")
 
 
-def test_a_node_starts_with_a_torn_file_and_with_a_whole_one(control, node, tmp_path):
-    program = node(reply(), told={"when_stale": "serve"})
+def test_node_starts_with_damaged_and_with_intact_file(control, node, tmp_path):
+    program = node(reply(), settings={"when_stale": "serve"})
     control.set("service/shop")
     control.set("route/shop/read", value=3.0)
-    kept = tmp_path / "distribution.msgpack"
-    wait_for(lambda: kept.exists() and acts_on(program, 2))
-    time.sleep(1.2)  # it is written a second after a change at the latest
-    whole = kept.read_bytes()
+    hint_file = tmp_path / "distribution.msgpack"
+    wait_for(lambda: hint_file.exists() and acts_on_version(program, 2))
+    time.sleep(1.2)  # the file is written within a second after a change
+    intact = hint_file.read_bytes()
     made, environment = program.made, program.environment
-    for data, said in ((whole[: len(whole) // 2], "damaged"), (b"", "damaged"), (whole, "")):
+    for data, message in ((intact[: len(intact) // 2], "damaged"), (b"", "damaged"), (intact, "")):
         program.close()
-        kept.write_bytes(data)
+        hint_file.write_bytes(data)
         program = Program(tmp_path, made, **{k: v for k, v in environment.items() if k[:4] != "PATH"})
         try:
             program.wait_ready()
-            assert ("not used: damaged" in program.log()) == bool(said), program.log()
-            wait_for(lambda p=program: acts_on(p, 2))
+            assert ("not used: damaged" in program.log()) == bool(message), program.log()
+            wait_for(lambda p=program: acts_on_version(p, 2))
         finally:
             program.close()
 
 
-def test_a_node_that_loses_its_relays_stands_by_and_comes_back(control, node):
+def test_node_without_relays_in_standby_until_they_return(control, node):
     program = node(reply())
     control.set("service/shop")
     assert program.ask(request(ident="1")).status == "200"
@@ -416,4 +420,4 @@
     for relay in control.relays:
         relay.begin()
     wait_for(lambda: program.ask(b"GET /ready HTTP/1.1\r\n\r\n").status == "200", 15)
-    assert acts_on(program, 1) and program.ask(request(ident="2")).status == "200"
+    assert acts_on_version(program, 1) and program.ask(request(ident="2")).status == "200"
