--- a/basalthoist/distribution/publisher.py
+++ b/basalthoist/distribution/publisher.py
@@ -286,9 +286,9 @@
             case ResyncRequest() if self.is_ready:
                 self.on_resync_request(follower, message)
             case Delta() | Snapshot() if not self.is_ready:
-                self.on_missing_content(now, message)
+                self.on_follower_update(now, message)
             case Proposal() if not self.is_ready and self.term:
-                self.on_pending_elsewhere(now, message)
+                self.on_follower_proposal(now, message)
 
     def on_resync_request(self, follower: Follower, message: ResyncRequest) -> None:
         """Sends the changes after the requested version, or a snapshot (-1)."""
@@ -298,7 +298,7 @@
             follower.version = self.store.version
         self.bring_up_to_date(follower)
 
-    def on_missing_content(self, now: int, message: Delta | Snapshot) -> None:
+    def on_follower_update(self, now: int, message: Delta | Snapshot) -> None:
         """Takes an update from a follower's store, which may bring the local store to the head."""
         # Guards against uncommitted content: no committed version is later than the head.
         if self.term and message.version <= self.register.head()[0]:
@@ -307,7 +307,7 @@
                 self.host.on_commit(entries)
             self.on_register_event(now)
 
-    def on_pending_elsewhere(self, now: int, message: Proposal) -> None:
+    def on_follower_proposal(self, now: int, message: Proposal) -> None:
         """Takes over the change that is pending in a follower's store, if the head names it."""
         change = message.change
         if (change.version, change.digest_after) == self.register.head():
@@ -334,7 +334,7 @@
         self.host.send(follower.session, reply)
 
     def max_sessions(self) -> int:
-        """Returns the limit of sessions for each relay: the mean per relay times `load_factor`, plus 1."""
+        """Returns the limit of sessions for each relay: `load_factor` times the mean, or `min_sessions`."""
         nodes = sum(
             follower.nodes + follower.inactive_nodes + follower.redirected_nodes
             for follower in self.followers.values()
