--- a/basalthoist/distribution/catalogue.py
+++ b/basalthoist/distribution/catalogue.py
@@ -155,7 +155,7 @@
             self.remove(previous)
         if entry.on:
             self.entries[entry.key] = self.scopes.setdefault(entry.scope, {})[entry.key] = entry
-            self.count(entry, 1)
+            self.update_sums(entry, 1)
         return previous
 
     def put_tenant(self, entry: Entry) -> Entry | None:
@@ -170,13 +170,13 @@
 
     def remove(self, entry: Entry) -> None:
         """Removes an entry that is in the catalogue and is not a tenant."""
-        self.count(entry, -1)
+        self.update_sums(entry, -1)
         scope = entry.scope
         del self.entries[entry.key], self.scopes[scope][entry.key]
         if not self.scopes[scope]:
             del self.scopes[scope], self.scope_hash_sums[scope], self.scope_bytes[scope]
 
-    def count(self, entry: Entry, sign: int) -> None:
+    def update_sums(self, entry: Entry, sign: int) -> None:
         """Adds an entry to the sums of its scope (`sign` 1), or subtracts it (`sign` -1)."""
         data, scope = ENCODE(entry), entry.scope
         self.scope_hash_sums[scope] = (
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -56,7 +56,7 @@
     return world
 
 
-def calls(world, at, first, number, gap):
+def make_calls(world, at, first, number, gap):
     """Makes operators' calls one after the other, at one process or at several in turn."""
     for ident in range(first, first + number):
         entries = [route(f"x{ident % 20}", world.services[ident % 6], ident), tenant(f"t{ident % 8}", ident)]
@@ -74,7 +74,7 @@
     away = world.by_name[author].region
     world.separated_regions = {frozenset((away, region)) for region in world.regions if region != away}
     other = next(name for name in world.voters if world.by_name[name].region != away)
-    calls(world, (other, author), 10, 60, 1_000)
+    make_calls(world, (other, author), 10, 60, 1_000)
     assert make or max(world.truth) > 5
     world.mend()
     world.run(world.at + 6 * LEASE)
@@ -87,7 +87,7 @@
     author = world.author()
     world.separated_pairs = {frozenset((author, machine.name)) for machine in world.machines.values()}
     other = next(name for name in world.voters if name != author)
-    calls(world, other, 10, 60, 1_000)
+    make_calls(world, other, 10, 60, 1_000)
     world.mend()
     world.run(world.at + 6 * LEASE)
     world.verify_settled()
@@ -99,7 +99,7 @@
     for number in range(4):
         for name in world.chance.sample(sorted(world.nodes), 3):
             world.isolate(name)
-        calls(world, "r0", 100 * number + 10, 24, 1_000)
+        make_calls(world, "r0", 100 * number + 10, 24, 1_000)
         for name in list(world.isolated):
             world.rejoin(name)
         world.run(world.at + LEASE)
@@ -112,7 +112,7 @@
     world = started_fleet(seed, make)
     for name in ("r1", "r2"):
         world.separated_pairs |= {frozenset((name, machine.name)) for machine in world.machines.values()}
-    calls(world, "r0", 10, 40, 1_000)
+    make_calls(world, "r0", 10, 40, 1_000)
     world.mend()
     world.run(world.at + 4 * LEASE)
     world.verify_settled()
@@ -124,7 +124,7 @@
     world = started_fleet(seed, make)
     for name in sorted(world.nodes)[:4]:
         world.nodes[name].subscriber.loses = True
-    calls(world, "r0", 10, 40, 1_000)
+    make_calls(world, "r0", 10, 40, 1_000)
     for node in world.nodes.values():
         node.subscriber.loses = False
     world.run(world.at + 4 * LEASE)
@@ -144,7 +144,7 @@
         names = [world.author() or "n0", "r1", *world.chance.sample(sorted(world.nodes), nodes)]
         for name in names:
             world.freeze(name)
-        calls(world, "r0", 100 * number + 10, 20, 2_000)
+        make_calls(world, "r0", 100 * number + 10, 20, 2_000)
         for name in names:
             world.wake(name)
         world.run(world.at + 2 * LEASE)
@@ -188,7 +188,7 @@
     world.delay = delay
     for number in range(6):
         world.separated_pairs = {frozenset(("r1", machine.name)) for machine in world.machines.values()}
-        calls(world, "r0", 100 * number + 10, 10, 700)
+        make_calls(world, "r0", 100 * number + 10, 10, 700)
         for connection in list(world.connections):
             if connection.ends[0] in world.nodes.values():
                 connection.break_off()
@@ -444,11 +444,11 @@
 
 def test_changes_in_force_within_50_ms_and_calls_succeed():
     world = started_fleet(3, count=60)
-    calls(world, "r1", 10, 20, 1_000)
+    make_calls(world, "r1", 10, 20, 1_000)
     world.run(world.at + 2 * LEASE)
     world.verify_settled()
-    counted = world.committed_at
-    lags = [max(acted.values()) - counted[v] for v, acted in world.acted_at.items() if v > 1]
+    committed_at = world.committed_at
+    lags = [max(acted.values()) - committed_at[v] for v, acted in world.acted_at.items() if v > 1]
     assert len(lags) >= 10 and max(lags) <= 500  # 50 ms; calls time out after 4 s
     assert all(len(world.acted_at[version]) == 60 for version in list(world.acted_at)[1:])
     assert all(text.startswith("SUCCESS") for text in world.answers.values())
@@ -485,7 +485,7 @@
     world = started_fleet(5, count=60)
     world.kill("r1", silent)
     at = world.at
-    calls(world, "r0", 10, 20, 1_000)
+    make_calls(world, "r0", 10, 20, 1_000)
     for version, acted in world.acted_at.items():
         if world.committed_at[version] > at:
             assert max(acted.values()) - world.committed_at[version] <= 15_000
@@ -546,7 +546,7 @@
     world = started_fleet(10, bounds=SHORT._replace(strict=False))
     node = world.nodes["b1"]
     world.isolate("b1")
-    calls(world, "r0", 10, 30, 1_000)
+    make_calls(world, "r0", 10, 30, 1_000)
     isolated, now = node.subscriber, node.now()
     assert isolated.may_forward_requests(now) and isolated.version == 1 and isolated.age(now) > 20_000
     assert world.answers[10].startswith("SUCCESS version 2 in force at 11 nodes in touch")
@@ -560,7 +560,7 @@
     with_hint = subscriber.Subscriber(
         host, "b9", 1, "", ["a"], ["a:1"], world.distribution_bounds, Lcg(1), 0, hint
     )
-    assert with_hint.may_forward_requests(1) and host.done[0] == ("apply_entries", hint.all_entries(), 3)
+    assert with_hint.may_forward_requests(1) and host.calls[0] == ("apply_entries", hint.all_entries(), 3)
 
 
 def test_calls_beyond_max_calls_rejected_and_every_call_answered():
@@ -610,13 +610,13 @@
     """A host of any role that records the calls of its methods."""
 
     def __init__(self):
-        self.done = []
+        self.calls = []
 
     def __getattr__(self, name):
-        return lambda *what: self.done.append((name, *what))
+        return lambda *arguments: self.calls.append((name, *arguments))
 
     def sent(self, kind=object):
-        return [what[-1] for what in self.done if what[0] == "send" and isinstance(what[-1], kind)]
+        return [call[-1] for call in self.calls if call[0] == "send" and isinstance(call[-1], kind)]
 
 
 def store_after(steps, history_bytes=1 << 20, hint=None):
@@ -774,7 +774,7 @@
         Delta(0, 1, b"", []),
     ):
         leader_link.on_message(10_000, message)
-    assert host.done == [] and store.version == 2
+    assert host.calls == [] and store.version == 2
     # The entries do not match the digest.
     leader_link.on_message(10_001, Delta(2, 3, bytes(32), [route("y", "a")]))
     assert host.sent(ResyncRequest) == [ResyncRequest(-1)]
@@ -867,7 +867,7 @@
     assert cache.look_up(2, "t1") == cache.look_up(2, "t2") == (True, None)
     cache.on_tick(3, True)
     cache.on_tick(4, True)
-    requested = [name for what in host.done if what[0] == "send_demand" for name in what[1].requested]
+    requested = [name for call in host.calls if call[0] == "send_demand" for name in call[1].requested]
     assert requested == ["anybody", "t1", "t2"]
     cache.on_update(5, TenantUpdate(4, [tenant("t1", 7), tenant("anybody", 0, False)]), 4)
     assert cache.look_up(6, "t1") == (True, {"quota_per_s": 7}) and cache.look_up(6, "anybody") == (
@@ -888,7 +888,7 @@
     cache.look_up(900, "t2")
     cache.on_tick(1_004, True)
     assert list(cache.cached) == ["t2"]
-    released = {name for what in host.done if what[0] == "send_demand" for name in what[1].released}
+    released = {name for call in host.calls if call[0] == "send_demand" for name in call[1].released}
     assert released == {"t0", "t1", "t3", "t4"}
     for number in range(100):  # a flood of names that may exist
         cache.look_up(2_000, f"flood{number}")
@@ -916,7 +916,7 @@
     node.on_message(4, TenantUpdate(3, [tenant("t1", 0), tenant("t2", 0)]))  # the relay is behind
     node.on_message(5, TenantUpdate(4, [tenant("t1", 2)]))  # the relay has caught up, and sends one of two
     node.on_message(6, HeartbeatReply(3, 4, node.digest(), 0))
-    assert not node.may_forward_requests(7) and host.done[-2][-1].requested == ["t1", "t2"]
+    assert not node.may_forward_requests(7) and host.calls[-2][-1].requested == ["t1", "t2"]
     node.on_message(6, HeartbeatReply(4, 4, node.digest(), 0))  # to a heartbeat before the second demand
     assert not node.may_forward_requests(7)
     node.on_message(7, TenantUpdate(4, [tenant("t1", 2), tenant("t2", 2)]))
@@ -986,7 +986,7 @@
     machine = next(m for m in world.machines.values() if len(m.relay.sessions) > 1)
     slow_one = next(iter(machine.relay.sessions.values())).name
     world.freeze(slow_one)
-    calls(world, "r0", 10, 40, 1_000)
+    make_calls(world, "r0", 10, 40, 1_000)
     assert slow_one not in machine.relay.by_name
     assert any(f"{slow_one} reads too slowly" in line for line in world.lines)
     for name, node in world.nodes.items():
@@ -1008,7 +1008,7 @@
 
 class RelayHost(Recorder):
     def kinds(self):
-        sent = [what[1:] for what in self.done if what[0] == "send"]
+        sent = [call[1:] for call in self.calls if call[0] == "send"]
         return [(number, type(getattr(message, "message", message)).__name__) for number, message in sent]
 
     def unsent_bytes(self, session):
@@ -1035,12 +1035,12 @@
     serving.on_handshake(1, 8, HandshakeRequest("behind", 1, "node", "z", ["a"], 1, b"", True))
     assert host.kinds() == [(7, "HandshakeReply"), (8, "HandshakeReply"), (8, "Delta")]
     for entries in ([tenant("t2", 1)], [tenant("t3", 1)]):
-        host.done.clear()
+        host.calls.clear()
         serving.on_commit(2, commit_change(store, entries))
         assert host.kinds() == ([(7, "TenantFilter")] if store.version == 3 else [(7, "Delta")]) + [
             (8, "Delta")
         ]
-    host.done.clear()
+    host.calls.clear()
     serving.on_handshake(3, 9, HandshakeRequest("old", 1, "node", "z", ["a"], 0, b"", True))
     store.history.steps.clear()
     store.history.base_versions.clear()
