--- a/basalthoist/distribution/catalogue.py
+++ b/basalthoist/distribution/catalogue.py
@@ -52,9 +52,8 @@
     entries: list[Entry]
     digest_before: bytes
     digest_after: bytes
-    calls: list[
-        Call
-    ] = []  # the operators' calls carried out by this change, so that no later leader repeats one
+    # The operators' calls that this change carries out, so that no later leader carries one out again.
+    calls: list[Call] = []
 
 
 class AppliedEntry(NamedTuple):
