--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -31,7 +31,7 @@
 from basalthoist.emulator import costs
 from basalthoist.emulator.distributed import Distributed, route, tenant
 from basalthoist.emulator.replicas import Broken
-from basalthoist.emulator.storms import REGISTER, SHORT, Storm, storm
+from basalthoist.emulator.storms import REGISTER, SHORT, DistributionFaultInjector, run_random_faults
 
 LEASE = REGISTER.lease
 
@@ -234,7 +234,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_guarantees_hold_under_random_faults(seed):
-    storm(seed, 15, (0.7, 2.0)[seed // 2 % 2])
+    run_random_faults(seed, 15, (0.7, 2.0)[seed // 2 % 2])
 
 
 FAULTS = st.tuples(
@@ -252,7 +252,7 @@
     world = Distributed(8, 3, 2, seed, SHORT, REGISTER)
     for number, node in enumerate(world.nodes.values()):
         node.looked_up = [f"t{number}"]
-    faults_run = Storm(world, 0)
+    faults_run = DistributionFaultInjector(world, 0)
     world.run(3 * LEASE)
     faults_run.call()
     for kind, name, duration, gap, called in faults:
