--- a/basalthoist/net/control/admin.py
+++ b/basalthoist/net/control/admin.py
@@ -1,4 +1,4 @@
-"""The admin interface: operators send one line over a connection and get one line as the answer."""
+"""The admin interface: an operator sends one line over a TCP connection and gets one line as the answer."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,26 +9,27 @@
 
 MAX_LINE_BYTES = 512
 BACKLOG = 100
-MAX_CALLERS = 8  # at once, within the descriptors that `reserve` keeps back
+MAX_CALLERS = 8  # They use descriptors of the configured `reserve`.
 
-# Gets why a call failed, an empty text where it is done, or a whole line that begins with SUCCESS or FAILURE.
+# Called with the result of a call: the reason of a failure, an empty text for success, or a complete answer
+# line that begins with SUCCESS or FAILURE.
 Answer = Callable[[str], None]
-Call = Callable[[], str]  # returns what an Answer would get, or raises CallError
+Call = Callable[[], str]  # Returns the same result text that an Answer is called with, or raises CallError.
 DeferredCall = Callable[[Answer], None]
 CallOnId = Callable[[str, Answer], None]
 CallWithFigure = Callable[[str, str, Answer], None]
 
 
 class CallError(Exception):
-    """Why a call was not carried out, as its caller is told."""
+    """A call was not carried out. The message is the reason in the caller's answer."""
 
 
 class MalformedLineError(Exception):
-    """A line that is no call, and why."""
+    """A line that cannot be parsed as a call. The message is the reason in the caller's answer."""
 
 
 def parse_line(line: bytes) -> list[str]:
-    """A call's name and its arguments; raises MalformedLineError."""
+    """Returns a call's name followed by its arguments; raises MalformedLineError."""
     try:
         parts = line.decode("ascii").rstrip("\r").split(" ")
     except UnicodeDecodeError:
@@ -39,7 +40,7 @@
 
 
 class Caller(asyncio.Protocol):
-    """One connection of an operator, for one call."""
+    """An operator's connection, which carries one call and its answer."""
 
     def __init__(self, admin: "Admin") -> None:
         self.admin: Admin = admin
@@ -47,15 +48,15 @@
         self.received: bytes = b""
         self.called: bool = False
         self.answered: bool = False
-        self.half_closed: bool = False  # the caller sends nothing more
+        self.half_closed: bool = False  # The caller has ended its sending direction.
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Registers the caller."""
+        """Registers the caller with the admin interface."""
         self.transport = transport
         self.admin.add_caller(self)
 
     def data_received(self, data: bytes) -> None:
-        """Makes the call once its line is complete; what follows is ignored."""
+        """Makes the call once its line is complete; ignores any bytes after that line."""
         if self.called:
             return
         self.received += data[: MAX_LINE_BYTES + 1]
@@ -67,39 +68,43 @@
             self.call(line)
 
     def eof_received(self) -> bool:
-        """The end of the stream also ends the line; the connection stays open for an answer."""
+        """Treats the end of the stream as the end of the line.
+
+        Returns whether the connection stays open, because an answer is still to be written.
+        """
         self.half_closed = True
         if not self.called and self.received:
             self.call(self.received)
         return self.called and not self.answered
 
     def call(self, line: bytes) -> None:
-        """Makes the call."""
+        """Makes the call of a complete line."""
         self.called = True
         self.admin.call(line, self.answer)
 
-    def connection_lost(self, wrong: Exception | None) -> None:
-        """Removes the caller."""
+    def connection_lost(self, error: Exception | None) -> None:
+        """Unregisters the caller."""
         self.admin.callers.pop(self, None)
 
     def answer(self, line: str) -> None:
-        """Writes the answer and ends the connection."""
+        """Writes the answer line and closes the connection, or only the sending direction of it."""
         self.answered = True
         if self.transport.is_closing():
-            return  # nobody waits any more
+            return
         self.transport.write(line.encode() + b"\n")
         if self.half_closed:
             self.transport.close()
         else:
-            # Guards against a reset that overtakes the answer, as closing with bytes unread would send.
+            # Closing a socket with unread bytes sends a reset, which may overtake the answer. Only the
+            # sending direction is closed; the caller closes the connection.
             self.transport.write_eof()
 
 
 class Admin:
-    """The calls by their names, and the connections of callers.
+    """Dispatches calls by their names and limits the connections of callers.
 
-    `calls` take nothing and are done at once, `deferred_calls` take nothing, `calls_on_id` an id and
-    `calls_with_figure` an id and a figure.
+    `calls` have no arguments and are answered at once. `deferred_calls` have no arguments either but may be
+    answered later. `calls_on_id` have an id as argument, `calls_with_figure` an id and a figure.
     """
 
     def __init__(
@@ -117,11 +122,11 @@
         self.timers: Timers = timers
         self.log: Log = log
         self.line_timeout: int = int(line_timeout_s * SECOND)
-        self.callers: dict[Caller, None] = {}  # longest connected first
+        self.callers: dict[Caller, None] = {}  # In the order in which they connected.
         self.listener: Listener | None = None
 
     async def listen(self, loop: asyncio.AbstractEventLoop, address: tuple[str, int]) -> None:
-        """Accepts callers; raises OSError where the address cannot be bound."""
+        """Starts to accept callers; raises OSError if the address cannot be bound."""
         sock = listening_socket(address, BACKLOG)
         self.listener = Listener(loop, self.timers, self.log, sock, lambda: Caller(self))
 
@@ -133,24 +138,24 @@
             caller.transport.close()
 
     def add_caller(self, caller: Caller) -> None:
-        """Gives a new caller its time; above the limit the one connected for longest is dropped."""
+        """Registers a new caller and starts its timeout; above MAX_CALLERS, drops the oldest caller."""
         self.callers[caller] = None
-        # Guards against callers that send nothing: others must find a descriptor.
+        # Callers that send nothing must not use up the descriptors that other operators need.
         if len(self.callers) > MAX_CALLERS:
             self.drop_caller(next(iter(self.callers)))
         self.timers.after(self.line_timeout, lambda: self.drop_caller(caller))
 
     def drop_caller(self, caller: Caller) -> None:
-        """Ends a connection, unless it has ended."""
+        """Aborts a caller's connection, unless it has already ended."""
         if self.callers.pop(caller, self) is None:
             caller.transport.abort()
 
     def call(self, line: bytes, answer: Answer) -> None:
-        """Makes the call of a line. `answer` gets the line of the answer, at once or later."""
+        """Makes the call of a line. Calls `answer` with the answer line, at once or later."""
         try:
             name, *arguments = parse_line(line)
-        except MalformedLineError as wrong:
-            return answer(f"FAILURE {wrong}")
+        except MalformedLineError as error:
+            return answer(f"FAILURE {error}")
 
         def answer_line(result: str) -> None:
             if result.startswith(("SUCCESS ", "FAILURE ")):
@@ -160,15 +165,15 @@
 
         try:
             self.dispatch(name, arguments, answer_line)
-        except CallError as wrong:
-            answer(f"FAILURE {wrong}")
-        except Exception as wrong:
-            # Guards against a call that breaks something here and takes the node along.
-            self.log(f"call {name} failed: {wrong!r}")
+        except CallError as error:
+            answer(f"FAILURE {error}")
+        except Exception as error:
+            # An unexpected exception in one call must not end the node's process.
+            self.log(f"call {name} failed: {error!r}")
             answer(f"FAILURE {name} went wrong; the log says more")
 
     def dispatch(self, name: str, arguments: list[str], answer: Answer) -> None:
-        """Makes a call by its name and how many arguments it has; raises CallError."""
+        """Makes a call by its name and number of arguments; raises CallError if there is no such call."""
         if name in self.calls and not arguments:
             answer(self.calls[name]())
         elif name in self.deferred_calls and not arguments:
@@ -181,7 +186,7 @@
             raise CallError(f"expected one of: {', '.join(self.known_calls())}")
 
     def known_calls(self) -> list[str]:
-        """Every call with its arguments."""
+        """Returns the name of every call with its arguments."""
         known = [*self.calls, *self.deferred_calls]
         known += [f"{name} ID" for name in self.calls_on_id]
         known += [f"{name} ID FIGURE" for name in self.calls_with_figure]
--- a/basalthoist/net/control/bans.py
+++ b/basalthoist/net/control/bans.py
@@ -1,43 +1,47 @@
-"""Which backends are banned, and by which sources: a ban ends when no source holds it any more."""
+"""The banned backends, by source of the ban. A backend stays banned until every source has lifted its ban."""
 
 from collections.abc import Callable, Iterable
 from enum import StrEnum
 
 
 class VerdictSource(StrEnum):
-    """Who bans backends or blocks tenants, besides this node's operators."""
+    """A source of bans and blocked tenants other than this node's operators."""
 
     FLEET = "fleet"
     CONFIGURATION = "configuration"
 
 
 class Bans:
-    """Bans of all sources; none undoes another's. `on_change` gets each backend that is banned or freed."""
+    """Combines the bans of all sources: no source can lift the ban of another.
+
+    Calls `on_change` with a backend's name and True when its first ban begins, and with False when its last
+    ban ends.
+    """
 
     def __init__(self, on_change: Callable[[str, bool], None]) -> None:
         self.on_change: Callable[[str, bool], None] = on_change
-        self.local: set[str] = set()  # by this node's operators
+        self.local: set[str] = set()  # Banned by this node's operators.
         self.by_source: dict[VerdictSource, set[str]] = {}
 
     def set_local(self, name: str, banned: bool) -> None:
-        """Bans a backend for this node's operators, or ends that."""
+        """Sets or lifts the ban of this node's operators on a backend."""
         if banned:
             self.local.add(name)
         else:
             self.local.discard(name)
-        if name not in self.of_all_sources():
+        if name not in self.banned_by_sources():
             self.on_change(name, banned)
 
     def set_by_source(self, source: VerdictSource, names: Iterable[str]) -> None:
-        """Sets everything that one source bans now."""
-        before = self.of_all_sources()
+        """Replaces all bans of one source."""
+        before = self.banned_by_sources()
         self.by_source[source] = set(names)
-        after = self.of_all_sources()
+        after = self.banned_by_sources()
         for name in sorted(after - before - self.local):
             self.on_change(name, True)
         for name in sorted(before - after - self.local):
             self.on_change(name, False)
 
-    def of_all_sources(self) -> set[str]:
-        """The bans besides those of this node's operators."""
+    def banned_by_sources(self) -> set[str]:
+        """Returns the backends banned by any source other than this node's operators."""
         return set().union(*self.by_source.values())
--- a/basalthoist/net/control/catalogue_files.py
+++ b/basalthoist/net/control/catalogue_files.py
@@ -1,4 +1,4 @@
-"""Entries of the catalogue from a file in `$TMPDIR`, and from what an operator writes."""
+"""Reads catalogue entries from a file in `$TMPDIR`, and from the arguments of an operator's call."""
 
 from collections.abc import Callable
 
@@ -9,7 +9,7 @@
 
 
 def read_file(path: str | None, log: Callable[[str], None]) -> bytes | None:
-    """The whole file, or None where there is none, or it can't be read."""
+    """Returns the content of the file, or None if `path` is None, the file is missing or cannot be read."""
     if path is None:
         return None
     try:
@@ -18,27 +18,31 @@
     except FileNotFoundError:
         return None
     except OSError as error:
-        # Guards against a disk that fails at the start: without its file it begins with nothing.
+        # A disk fault must not keep the process from starting: without the file it starts with no entries.
         log(f"distribution: {path} not read: {error}")
         return None
 
 
 def read_node_file(path: str | None, tag: str, log: Callable[[str], None]) -> Catalogue | None:
-    """A node's entries when its file was written, by one of the same `tag`; None where that can't be used."""
+    """Returns the entries stored in a node's file, or None if there is no usable file.
+
+    A file is usable only if it was written with the same `tag`, which names the fleet and the scopes.
+    """
     data = read_file(path, log)
     if data is None:
         return None
     found = from_bytes(tag, data)
     if found is None:
-        # Guards against a torn file, or another's: it costs time, not truth.
-        log(f"distribution: {path} not used: damaged, or of another fleet or other scopes")
+        # Starting without the stored entries is slower but safe: the relay sends them all.
+        log(f"distribution: {path} not used: damaged, or written for another fleet or other scopes")
     return found
 
 
 def entry_of(subject: str, text: str | None) -> Entry:
-    """From KIND/NAME, or KIND/SERVICE/NAME for what belongs to a service, and JSON; without it, a removal.
+    """Returns the entry for a subject and the JSON text of its body; without a text, its removal.
 
-    Raises EntryError."""
+    The subject is KIND/NAME, or KIND/SERVICE/NAME for an entry that belongs to a service. Raises EntryError.
+    """
     kind, _, remainder = subject.partition("/")
     scope, slash, name = remainder.partition("/")
     if not slash:
