--- a/basalthoist/net/control/distribution.py
+++ b/basalthoist/net/control/distribution.py
@@ -111,7 +111,7 @@
 
     def call(self, entries: list[Entry], answer: Answer) -> None:
         """By the relay to the leader."""
-        if self.stream is None or not self.subscriber.connection.is_up:
+        if self.stream is None or not self.subscriber.connection.is_established:
             return answer("FAILURE no relay in reach")
         call_id = self.calls.add(answer)
         self.send(OperatorCall(call_id, entries, 0))
@@ -199,7 +199,7 @@
         self.last_number = len(configuration.customers)
         own = configuration.name, configuration.folder
         super().__init__(loop, settings, *own, timers, log, disk_worker, descriptors)
-        self.is_standing_by = not self.may_act()
+        self.is_standing_by = not self.may_forward_requests()
         set_standing_by(self.is_standing_by)
         front_end.tenant_number = self.tenant_number
         timers.every(TICK, self.tick)
@@ -215,13 +215,13 @@
 
     # Its view.
 
-    def may_act(self) -> bool:
+    def may_forward_requests(self) -> bool:
         """Asked before every send: a process that stood still has not looked at its timers yet."""
-        return self.subscriber.may_act(boot_time_now())
+        return self.subscriber.may_forward_requests(boot_time_now())
 
     def look(self) -> None:
         """Stands by, or serves again, as the view has become stale or fresh."""
-        if self.is_standing_by == self.may_act():
+        if self.is_standing_by == self.may_forward_requests():
             self.is_standing_by = not self.is_standing_by
             view = "stale: stands by" if self.is_standing_by else "confirmed"
             self.log(f"distribution: version {self.subscriber.acting_version}, view {view}")
--- a/basalthoist/net/control/fleet.py
+++ b/basalthoist/net/control/fleet.py
@@ -13,7 +13,7 @@
 from basalthoist.fleet.outlier_reports import claimed_outliers
 from basalthoist.fleet.quota_leases import Bucket, Limit, QuotaLeaseHolder
 from basalthoist.fleet.replica import Replica
-from basalthoist.fleet.verdicts import BAN, CUSTOMER, QUOTA, SICK, Verdict, VerdictKind, VerdictSet
+from basalthoist.fleet.verdicts import BAN, OUTLIER, QUOTA, TENANT_BAN, Verdict, VerdictKind, VerdictSet
 from basalthoist.fleet.wire import Ack, MemberState, Message, Ping
 from basalthoist.net.control.bans import Bans, VerdictSource
 from basalthoist.net.control.hint_file import RunOnDisk
@@ -81,7 +81,7 @@
         period = int(document.probe_s * SECOND)
         incarnation = self.handshakes.incarnation
         self.members: Members = Members(self, self.me, incarnation, nodes, period, self.chance, at)
-        self.is_standing_by: bool = not self.replica.may_forward(at)
+        self.is_standing_by: bool = not self.replica.may_forward_requests(at)
         stands_by(self.is_standing_by)
         timers.every(max(bounds.heartbeat_interval // TICKS_PER_HEARTBEAT, MIN_TICK), self.tick)
 
@@ -123,7 +123,7 @@
 
     def check_view(self, at: int) -> None:
         """Stands by while this node may not act on what it knows."""
-        if self.is_standing_by != self.replica.may_forward(at):
+        if self.is_standing_by != self.replica.may_forward_requests(at):
             return
         self.is_standing_by = not self.is_standing_by
         version = self.replica.sets.applied.version
@@ -133,9 +133,9 @@
             self.log(f"view confirmed, version {version}")
         self.stands_by(self.is_standing_by)
 
-    def may_forward(self) -> bool:
+    def may_forward_requests(self) -> bool:
         """Asked before every send. Guards against a process that stood still and has met no timer yet."""
-        return self.replica.may_forward(boot_time_now())
+        return self.replica.may_forward_requests(boot_time_now())
 
     # Rate limits.
 
@@ -159,9 +159,9 @@
     def apply(self, verdicts: VerdictSet) -> None:
         """Applies these verdicts from now on."""
         present = verdicts.verdicts.values()
-        banned = (verdict.subject for verdict in present if verdict.kind in (BAN, SICK))
+        banned = (verdict.subject for verdict in present if verdict.kind in (BAN, OUTLIER))
         self.bans.set_by_source(VerdictSource.FLEET, banned)
-        self.shut_out({verdict.subject for verdict in present if verdict.kind == CUSTOMER})
+        self.shut_out({verdict.subject for verdict in present if verdict.kind == TENANT_BAN})
         self.set_quotas({verdict.subject: verdict.figure for verdict in present if verdict.kind == QUOTA})
         self.log(f"fleet: acts on version {verdicts.version}, {len(present)} verdicts")
 
--- a/basalthoist/net/control/message_stream.py
+++ b/basalthoist/net/control/message_stream.py
@@ -120,7 +120,7 @@
     def on_message(self, now: int, message: Message) -> None:
         """From the peer."""
 
-    def on_lost(self, now: int) -> None:
+    def on_disconnected(self, now: int) -> None:
         """It has ended, or none came about; not after `OutgoingConnection.close`."""
 
 
@@ -152,7 +152,7 @@
             host_port = address_of(address)
         except ValueError:
             # Guards against a relay's entry that names no address: it counts as one that does not answer.
-            self.loop.call_soon(self.session.on_lost, boot_time_now())
+            self.loop.call_soon(self.session.on_disconnected, boot_time_now())
             return
         self.close()
         stream = self.stream = MessageStream(self.loop, self.key, self, MAX_FRAME_BYTES)
@@ -209,7 +209,7 @@
         """By the peer, or none came about."""
         if stream is self.stream:
             self.close()
-            self.session.on_lost(boot_time_now())
+            self.session.on_disconnected(boot_time_now())
 
     def on_message(self, message: Message) -> None:
         """Hands it to the session."""
--- a/basalthoist/net/control/relay_process.py
+++ b/basalthoist/net/control/relay_process.py
@@ -222,9 +222,9 @@
         """As the leader allows."""
         return self.leader_session.max_sessions
 
-    def on_all_current(self, now: int) -> None:
+    def on_all_nodes_current(self, now: int) -> None:
         """The leader hears of it at once."""
-        if self.leader_session.connection.is_up:
+        if self.leader_session.connection.is_established:
             self.leader_session.send_heartbeat(now)
 
     def on_commit(self, entries: list[Entry]) -> None:
--- a/basalthoist/net/lifecycle/shutdown.py
+++ b/basalthoist/net/lifecycle/shutdown.py
@@ -20,7 +20,7 @@
 class DrainedConnection(Protocol):
     """A client's connection, at the end of the process."""
 
-    def end_now(self, last: bool) -> None:
+    def close_for_shutdown(self, last: bool) -> None:
         """What is unanswered is answered now. `last`: a client with its response had the time to close."""
 
 
@@ -105,7 +105,7 @@
             self.time_was_up_at = now()
         last = now() >= self.time_was_up_at + CLOSE_GRACE
         for connection in list(self.front_end.connections):
-            connection.end_now(last)
+            connection.close_for_shutdown(last)
         self.check_drained()
         if not self.drained.done():
             self.timers.after(CHECK_INTERVAL, self.answer_all)
