--- a/basalthoist/net/control/distribution.py
+++ b/basalthoist/net/control/distribution.py
@@ -1,6 +1,7 @@
-"""This node's part in distribution/: its connection to a relay, the file with its entries, what it acts on.
+"""A node's side of the distributed configuration: its connection to a relay, the file that stores its
+entries, and the application of entries to routes, tenants and bans.
 
-What is decided is decided in `distribution/`; entries go on to the node's decisions. No request waits here.
+The protocol's decisions are made in `distribution/`. No request waits for anything in this module.
 """
 
 import asyncio
@@ -33,16 +34,16 @@
 from basalthoist.settings_codec import tenths
 
 TICK = SECOND // 10
-SAVE_INTERVAL = SECOND  # between two writings of the file
+SAVE_INTERVAL = SECOND
 SWEEP_INTERVAL = 10 * SECOND
-CALL_GRACE_S = 3.0  # after a call's timeout until it is given up here
+CALL_GRACE_S = 3.0  # A call is given up this long after the timeout within which the leader answers it.
 NO_ANSWER = "FAILURE no answer, not known whether the change is kept"
 
 
 class RelayLink(OutgoingConnection):
-    """The connection to a relay: host of the subscriber, and keeper of its file.
+    """The connection to a relay, host of the subscriber, and owner of the file with the subscriber's entries.
 
-    Who extends it says what is done with entries and tenants.
+    Subclasses decide how entries and tenants are applied.
     """
 
     def __init__(
@@ -61,7 +62,7 @@
         self.timers = timers
         self.disk_worker = disk_worker
         self.path = os.path.join(folder, "distribution.msgpack") if folder else None
-        # The entries of another fleet's node, or of other scopes, are not this one's.
+        # A file that was written for another fleet or for other scopes must not be used.
         self.file_tag = "\0".join((settings.fleet, *sorted({"", *settings.scopes})))
         self.is_saving = False
         self.must_save = False
@@ -76,51 +77,52 @@
     # The connection.
 
     def on_message(self, message: Message) -> None:
-        """From the relay."""
+        """Answers an operator's call, or passes any other message of the relay to the subscriber."""
         if type(message) is OperatorReply:
             return self.calls.answer(message.call_id, message.text)
         super().on_message(message)
         self.look()
 
     def close(self) -> None:
-        """Guards against a call whose answer would go to a connection that has ended."""
+        """Closes the connection and fails the pending calls, whose answers can no longer arrive."""
         super().close()
         self.calls.answer_all(NO_ANSWER)
 
     def tick(self) -> None:
-        """The subscriber's time."""
+        """Drives the subscriber's timers."""
         now = boot_time_now()
-        if self.calls:  # it stays at this relay until these are answered
+        if self.calls:
+            # The subscriber must not move to its preferred relay before the pending calls are answered.
             self.subscriber.preferred_at = max(self.subscriber.preferred_at, now + 2 * TICK)
         run_guarded(self.subscriber.on_tick, self.log, now)
         self.look()
 
-    # Who extends this says what is done with what has come.
+    # Overridden by subclasses.
 
     def look(self) -> None:
-        """After each message and each tick."""
+        """Called after each message and each tick."""
 
     def apply_entries(self, entries: list[Entry], version: int) -> None:
-        """As host of the subscriber."""
+        """Marks the file as outdated if entries have changed. Called by the subscriber."""
         self.must_save = self.must_save or bool(entries)
 
     def apply_tenant(self, name: str, body: dict | None) -> None:
-        """As host of the subscriber."""
+        """Does nothing here. Called by the subscriber with a tenant's entry, or None if there is none."""
 
-    # Operators.
+    # Operators' calls.
 
     def call(self, entries: list[Entry], answer: Answer) -> None:
-        """By the relay to the leader."""
+        """Sends an operator's call to the leader by way of the relay."""
         if self.stream is None or not self.subscriber.connection.is_established:
             return answer("FAILURE no relay in reach")
         call_id = self.calls.add(answer)
         self.send(OperatorCall(call_id, entries, 0))
-        # Guards against a relay that says nothing of it.
-        given_up = int((self.settings.answer_s + CALL_GRACE_S) * SECOND)
-        self.timers.after(given_up, partial(self.calls.answer, call_id, NO_ANSWER))
+        # The caller gets an answer even if the relay never sends one.
+        timeout = int((self.settings.answer_s + CALL_GRACE_S) * SECOND)
+        self.timers.after(timeout, partial(self.calls.answer, call_id, NO_ANSWER))
 
     def here(self) -> str:
-        """`config-here`."""
+        """Returns the answer to `config-here`: version, age of the view, relay and number of entries."""
         subscriber, now = self.subscriber, boot_time_now()
         age, relay = subscriber.age(now), subscriber.connection.address or "no relay"
         view = f"{age / SECOND:.1f} s old" if age < UNCONFIRMED_AGE else "never confirmed"
@@ -130,7 +132,10 @@
     # The file.
 
     def save(self) -> None:
-        """Beside the event loop, where entries have changed; one at a time. Never proof: a digest is."""
+        """Writes changed entries to the file, off the event loop, one write at a time.
+
+        The file is only a hint for the next process: entries are trusted once a relay's digest matches them.
+        """
         version, catalogue = self.subscriber.version, self.subscriber.catalogue
         if self.path is None or self.is_saving or not self.must_save or version == self.saved_version:
             return
@@ -143,27 +148,31 @@
         self.disk_worker(write, partial(self.saved, version))
 
     def saved(self, version: int, error: TaskError | None) -> None:
-        """`error` is None where all went well."""
+        """Ends a write of the file; `error` is None if it succeeded."""
         self.is_saving, self.saved_version = False, version
         if error:
-            self.log(f"distribution: version {version} not kept: {error}")
+            self.log(f"distribution: not kept: version {version} in {self.path}: {error}")
 
 
 class ConfiguredRoute(NamedTuple):
-    """A route as the node's file has it."""
+    """A route as the node's configuration file sets it. `record` is the front end's own record of the route.
+
+    `overall_timeout_us` is in microseconds, `objective` and `timeout` are in tenths of a millisecond.
+    """
 
     number: int
-    record: object  # of the front end
+    record: object
     overall_timeout_us: int
-    objective: int  # tenths of a millisecond, as `timeout`
+    objective: int
     timeout: int
     value: float
 
 
 class Distribution(RelayLink, ConfigurationCalls):
-    """Acts in service on routes, tenants and verdicts. `front_end`: looks routes and tenants up.
+    """Applies the distributed routes, tenants and verdicts to a serving node.
 
-    `block_customers` takes the customers that are shut out, `set_standing_by` whether the node stands by.
+    `front_end` looks up routes and tenants. `block_tenants` is called with all tenants that are blocked now,
+    `set_standing_by` with whether the node stands by because its view is stale.
     """
 
     def __init__(
@@ -174,7 +183,7 @@
         timers: Timers,
         log: Log,
         bans: Bans,
-        block_customers: Callable[[set[str]], None],
+        block_tenants: Callable[[set[str]], None],
         dispatcher: RequestDispatcher,
         front_end: FrontEnd,
         set_standing_by: Callable[[bool], None],
@@ -183,7 +192,7 @@
     ) -> None:
         balancer = dispatcher.balancer
         self.bans = bans
-        self.block_customers = block_customers
+        self.block_tenants = block_tenants
         self.set_standing_by = set_standing_by
         self.dispatcher = dispatcher
         self.front_end = front_end
@@ -194,8 +203,9 @@
             for name, (number, record) in front_end.routes.items()
         }
         self.verdicts: dict[str, dict] = {}
-        self.numbers: dict[bytes, int] = {}  # of tenants that are not configured
-        self.awaited_since: dict[bytes, int] = {}  # of these, whose entry has not come
+        self.unconfigured_numbers: dict[bytes, int] = {}  # By name, for tenants that the file does not name.
+        # By name, for unconfigured tenants whose entry has not arrived: when their first request came.
+        self.awaited_since: dict[bytes, int] = {}
         self.last_number = len(configuration.customers)
         own = configuration.name, configuration.folder
         super().__init__(loop, settings, *own, timers, log, disk_worker, descriptors)
@@ -207,30 +217,33 @@
         timers.every(SWEEP_INTERVAL, self.sweep)
 
     def configured_route(self, number: int, record: object) -> ConfiguredRoute:
-        """What a route is before any entry, and again without one."""
+        """Returns a route's configured values, which are in force while there is no entry for it."""
         route = self.dispatcher.balancer.routes[number]
         return ConfiguredRoute(
             number, record, record.overall_timeout, route.objective, route.timeout, route.value
         )
 
-    # Its view.
+    # The view.
 
     def may_forward_requests(self) -> bool:
-        """Asked before every send: a process that stood still has not looked at its timers yet."""
+        """Returns whether the view is fresh enough to forward requests.
+
+        Checked before every send, because a process that was suspended has not run its timers yet.
+        """
         return self.subscriber.may_forward_requests(boot_time_now())
 
     def look(self) -> None:
-        """Stands by, or serves again, as the view has become stale or fresh."""
+        """Stands by if the view has become stale, or serves again if it has been confirmed."""
         if self.is_standing_by == self.may_forward_requests():
             self.is_standing_by = not self.is_standing_by
             view = "stale: stands by" if self.is_standing_by else "confirmed"
             self.log(f"distribution: version {self.subscriber.acting_version}, view {view}")
             self.set_standing_by(self.is_standing_by)
 
-    # What is acted on.
+    # Application of entries.
 
     def apply_entries(self, entries: list[Entry], version: int) -> None:
-        """As host of the subscriber."""
+        """Applies the entries that have changed up to this version. Called by the subscriber."""
         super().apply_entries(entries, version)
         for entry in entries:
             if entry.kind == "route":
@@ -239,10 +252,10 @@
         if verdicts:
             self.apply_verdicts(verdicts)
         if entries:
-            self.log(f"distribution: acts on version {version}, {len(entries)} entries of it are other ones")
+            self.log(f"distribution: acts on version {version}, {len(entries)} entries changed")
 
     def apply_verdicts(self, entries: list[Entry]) -> None:
-        """Bans of backends, and customers that are shut out."""
+        """Applies changed verdicts: bans of backends and blocked tenants."""
         for entry in entries:
             self.verdicts.pop(entry.name, None)
             if entry.on:
@@ -250,12 +263,15 @@
         bodies = list(self.verdicts.values())
         banned = (body["subject"] for body in bodies if body["kind"] == "ban")
         self.bans.set_by_source(VerdictSource.CONFIGURATION, banned)
-        self.block_customers({body["subject"] for body in bodies if body["kind"] == "customer"})
+        self.block_tenants({body["subject"] for body in bodies if body["kind"] == "customer"})
 
     def apply_route(self, entry: Entry) -> None:
-        """What an entry leaves out, or one that is taken out, is as configured."""
+        """Applies a route's entry; the configured value is used for all that the entry does not set.
+
+        An entry that removes the route's settings brings back every configured value.
+        """
         if entry.name not in self.routes:
-            return  # a route that this node's file does not have
+            return  # This node's configuration file has no such route.
         configured = self.routes[entry.name]
         overall_timeout_us = configured.overall_timeout_us
         objective, timeout, value = configured.objective, configured.timeout, configured.value
@@ -271,7 +287,10 @@
         self.dispatcher.on_route(configured.number, objective, timeout, value)
 
     def tenant_number(self, name: bytes | None) -> int | None:
-        """By which number the decisions know a tenant; None: there is no such tenant."""
+        """Returns the number by which the decisions know a tenant, or None if there is no such tenant.
+
+        A tenant that may exist but is neither configured nor cached gets a number and the usual quota.
+        """
         if name is None:
             names = self.subscriber.tenants.filter
             any_named = self.configured_tenants or names is not None and any(names.bits)
@@ -281,21 +300,21 @@
             return self.configured_tenants[name]
         if not may_exist:
             return None
-        number = self.numbers.get(name)
+        number = self.unconfigured_numbers.get(name)
         if number is None:
             number = self.add_tenant(name, self.settings.usual_quota)
             self.awaited_since[name] = boot_time_now()
         return number
 
     def add_tenant(self, name: bytes, quota: float) -> int:
-        """Returns its number."""
+        """Assigns a number to an unconfigured tenant and sets its quota; returns the number."""
         self.last_number += 1
-        self.numbers[name] = self.last_number
+        self.unconfigured_numbers[name] = self.last_number
         self.dispatcher.on_quota(self.last_number, quota)
         return self.last_number
 
     def apply_tenant(self, name: str, body: dict | None) -> None:
-        """As host of the subscriber."""
+        """Applies a tenant's quota, or its removal if `body` is None. Called by the subscriber."""
         key = name.encode("latin-1", "replace")
         self.awaited_since.pop(key, None)
         if key in self.configured_tenants:
@@ -303,16 +322,19 @@
             quota = body["quota_per_s"] if body is not None else self.configured_quotas[number]
             self.dispatcher.on_quota(number, quota)
         elif body is None:
-            number = self.numbers.pop(key, None)
+            number = self.unconfigured_numbers.pop(key, None)
             if number is not None:
                 self.dispatcher.on_quota(number, None)
-        elif key in self.numbers:
-            self.dispatcher.on_quota(self.numbers[key], body["quota_per_s"])
+        elif key in self.unconfigured_numbers:
+            self.dispatcher.on_quota(self.unconfigured_numbers[key], body["quota_per_s"])
         else:
             self.add_tenant(key, body["quota_per_s"])
 
     def sweep(self) -> None:
-        """Guards against tenants added while no relay was in reach that would stay for good."""
+        """Removes tenants whose entry has not arrived within `idle_s`.
+
+        They were added while no relay could be reached, and nothing else would ever remove them.
+        """
         before = boot_time_now() - int(self.settings.idle_s * SECOND)
         for name in [name for name, since in self.awaited_since.items() if since < before]:
             self.apply_tenant(name.decode("latin-1"), None)
