--- a/basalthoist/net/control/fleet.py
+++ b/basalthoist/net/control/fleet.py
@@ -159,7 +159,7 @@
         return holder
 
     def close_or_open_limits(self, at: int, is_idle: bool) -> None:
-        """Returns this node's grants at once when it has become idle, and requests grants again afterwards."""
+        """Returns this node's grants at once when it has become idle, and requests them again afterwards."""
         if self.holder is not None and is_idle != self.holder.closed:
             (self.holder.close if is_idle else self.holder.open)(at)
 
--- a/basalthoist/net/control/gossip_socket.py
+++ b/basalthoist/net/control/gossip_socket.py
@@ -1,4 +1,4 @@
-"""Gossip between the nodes of a tier, as datagrams."""
+"""The UDP socket for gossip between the nodes of a tier."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 
 
 class GossipSocket(asyncio.DatagramProtocol):
-    """One socket at `peer_listen`. A datagram may arrive late, twice or never; none is answered."""
+    """A socket bound to `peer_listen`. A datagram may arrive late, twice or never, and none is answered."""
 
     def __init__(
         self,
@@ -32,18 +32,18 @@
         self.on_messages: Callable[[int, GossipMessages], None] = on_messages
         self.log: Log = log
         self.transport: asyncio.DatagramTransport | None = None
-        # Datagrams since the last report.
+        # Counts of datagrams since the last report.
         self.malformed: int = 0
-        self.from_strangers: int = 0  # from outside the tier
+        self.from_unknown: int = 0  # Senders outside the tier.
         self.unsent: int = 0
         timers.every(REPORT_INTERVAL, self.report)
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:
-        """The socket is open."""
+        """Stores the open socket's transport."""
         self.transport = transport
 
     def send(self, messages: GossipMessages, peers: list[int]) -> None:
-        """Sends the messages to the peers of these numbers; this node's own is passed over."""
+        """Sends the messages to the peers with these numbers, except to this node itself."""
         if self.transport is None or self.transport.is_closing():
             return
         data = encode(messages)
@@ -52,37 +52,39 @@
                 try:
                     self.transport.sendto(data, self.peers[peer])
                 except OSError:
-                    self.unsent += 1  # gossip may be lost
+                    self.unsent += 1  # Lost gossip is not sent again.
 
     def datagram_received(self, data: bytes, sender: tuple) -> None:
-        """Passes on what a peer has sent; anything else is counted."""
+        """Passes on the messages of a peer; drops and counts any other datagram."""
         number = self.numbers.get(sender[:2])
         if number is None:
-            # Guards against messages from outside the tier.
-            self.from_strangers += 1
+            # Only the configured peers may influence this node's decisions.
+            self.from_unknown += 1
             return self.log_dropped(f"a stranger, {sender[0]}:{sender[1]}")
         try:
             messages = decode(data)
         except ValueError:
             self.malformed += 1
-            return self.log_dropped(f"malformed, from {sender[0]}:{sender[1]}")
+            return self.log_dropped(f"malformed, {len(data)} bytes from {sender[0]}:{sender[1]}")
         self.on_messages(number, messages)
 
-    def error_received(self, wrong: OSError) -> None:
-        """A datagram could not be sent."""
+    def error_received(self, error: OSError) -> None:
+        """Counts a datagram that could not be sent."""
         self.unsent += 1
 
-    def log_dropped(self, what: str) -> None:
-        """The first of its kind is logged at once, the others are counted."""
-        if self.malformed + self.from_strangers < 2 or self.from_strangers == 1:
-            self.log(f"peers: a datagram dropped: {what}")
+    def log_dropped(self, reason: str) -> None:
+        """Logs the first dropped datagram of its kind since the last report; the others are only counted."""
+        if self.malformed + self.from_unknown < 2 or self.from_unknown == 1:
+            self.log(f"peers: a datagram dropped: {reason}")
 
     def report(self) -> None:
-        """Logs the counts since the last report, if any."""
-        if self.malformed or self.from_strangers or self.unsent:
-            counts = f"{self.malformed} malformed, {self.from_strangers} from strangers, {self.unsent} unsent"
+        """Logs the counts since the last report, if there are any, and resets them."""
+        if self.malformed or self.from_unknown or self.unsent:
+            counts = (
+                f"{self.malformed} malformed, {self.from_unknown} from unknown senders, {self.unsent} unsent"
+            )
             self.log(f"peers: {counts}")
-            self.malformed = self.from_strangers = self.unsent = 0
+            self.malformed = self.from_unknown = self.unsent = 0
 
     def close(self) -> None:
         """Closes the socket."""
--- a/basalthoist/net/control/hint_file.py
+++ b/basalthoist/net/control/hint_file.py
@@ -1,4 +1,7 @@
-"""The file in which a replica stores its last verdict set: a hint for the next incarnation, never proof."""
+"""The file in which a replica stores its last verdict set.
+
+The next incarnation uses the set as a hint only: it never proves that the set was committed.
+"""
 
 import os
 from collections.abc import Callable
@@ -15,12 +18,12 @@
 FILE_NAME = "fleet.msgpack"
 DIGEST_BYTES = 16
 
-# Runs the task off the event loop, and the completion with its error on it.
+# Runs the task off the event loop, then the completion on the event loop with the task's error or None.
 RunOnDisk = Callable[[Task, Completion], None]
 
 
 class Hint(msgspec.Struct, array_like=True):
-    """What stands in the file behind its digest. The order of the fields is the form."""
+    """The file's content after the checksum. The order of the fields is the stored format."""
 
     fleet: str
     term: int
@@ -30,12 +33,12 @@
 
 
 def checksum(data: bytes) -> bytes:
-    """What stands before the data in the file."""
+    """Returns the checksum that precedes the data in the file."""
     return blake2b(data, digest_size=DIGEST_BYTES).digest()
 
 
 class HintFile:
-    """The file in the node's folder. Without a folder nothing is stored."""
+    """The hint file in the node's folder. Without a folder nothing is stored."""
 
     def __init__(self, fleet: str, folder: str, run_on_disk: RunOnDisk, log: Log) -> None:
         self.fleet: str = fleet
@@ -43,15 +46,15 @@
         self.run_on_disk: RunOnDisk = run_on_disk
         self.log: Log = log
         self.is_writing: bool = False
-        self.pending: VerdictSet | None = None  # the next to write
+        self.pending: VerdictSet | None = None  # The set to write next.
 
     def store(self, verdicts: VerdictSet) -> None:
-        """Writes the set, or once the write under way is done the latest one."""
+        """Writes the set; during another write, only the latest set is written after that."""
         self.pending = verdicts
         self.write_pending()
 
     def write_pending(self) -> None:
-        """One write at a time; what is stored meanwhile is in the next."""
+        """Starts to write the pending set, unless a write is in progress."""
         if self.path is None or self.is_writing or self.pending is None:
             return
         verdicts, self.pending, self.is_writing = self.pending, None, True
@@ -61,14 +64,14 @@
         self.run_on_disk(write, self.on_written)
 
     def on_written(self, error: TaskError | None) -> None:
-        """A write has ended; the error is None where all is well."""
+        """Ends a write and starts the next; `error` is None if the write succeeded."""
         self.is_writing = False
         if error:
             self.log(f"fleet: hint not kept: {error}")
         self.write_pending()
 
     def read(self) -> VerdictSet | None:
-        """The set that was stored last, if there is one that can be read."""
+        """Returns the set that was stored last, or None if there is none or it cannot be read."""
         if self.path is None:
             return None
         try:
@@ -77,17 +80,23 @@
         except FileNotFoundError:
             return None
         except (OSError, ValueError, msgspec.DecodeError) as error:
-            # Guards against a damaged file that would keep the node from serving: it costs time, not truth.
+            # A damaged file must not keep the node from serving. Starting without a hint takes longer but
+            # is safe.
             self.log(f"fleet: {self.path} not read: {error}")
             return None
 
     def decode(self, data: bytes) -> VerdictSet:
-        """The set of a file's content. Raises ValueError where it is damaged or of another fleet."""
+        """Returns the verdict set in a file's content.
+
+        Raises ValueError or msgspec.DecodeError if the file is damaged or belongs to another fleet.
+        """
         digest, encoded = data[:DIGEST_BYTES], data[DIGEST_BYTES:]
         if checksum(encoded) != digest:
-            raise ValueError("damaged")
+            raise ValueError(f"damaged: checksum of {len(encoded)} bytes does not match")
         hint = msgspec.msgpack.decode(encoded, type=Hint)
         verdicts = decode_set(hint.term, hint.version, hint.digest, hint.data)
         if hint.fleet != self.fleet or verdicts is None:
-            raise ValueError("damaged, or of another fleet")
+            raise ValueError(
+                f"expected fleet {self.fleet} and a set that matches its digest, got fleet {hint.fleet}"
+            )
         return verdicts
