--- a/basalthoist/net/control/incoming_sessions.py
+++ b/basalthoist/net/control/incoming_sessions.py
@@ -1,4 +1,4 @@
-"""The connections that nodes and other relays have opened to a relay's process."""
+"""The connections that nodes and other relays have opened to a relay process."""
 
 from collections.abc import Callable
 
@@ -16,11 +16,12 @@
 from basalthoist.net.control.pending_calls import Answer
 from basalthoist.net.runtime.timers import boot_time_now
 
-NODE_FRAME_BYTES = 4 * 1024 * 1024  # at most, from a node: a demand, or an operator's call
+# A node sends nothing larger than a demand for tenants or an operator's call.
+MAX_NODE_FRAME_BYTES = 4 * 1024 * 1024
 
 
 class IncomingSession:
-    """A connection, and who serves it: nobody until its peer has said who it is."""
+    """A connection with the role that serves it, which is None until the peer's handshake."""
 
     def __init__(self, number: int, stream: MessageStream, opened_at: int) -> None:
         self.number = number
@@ -30,9 +31,10 @@
 
 
 class IncomingSessions:
-    """Owner of the streams. `relay` serves nodes, `publisher`, where this process votes, relays.
+    """Owner of the incoming streams: `relay` serves nodes, and `publisher` serves relays.
 
-    `on_operator_call`: a call that a node passes on, and whom to tell what became of it.
+    `publisher` is None unless this process is a voter. `on_operator_call` is called with the entries of an
+    operator's call that a node has passed on, and with the function that sends the answer.
     """
 
     def __init__(
@@ -50,25 +52,26 @@
         self.log = log
         self.by_number: dict[int, IncomingSession] = {}
         self.by_stream: dict[MessageStream, IncomingSession] = {}
-        self.unidentified: dict[int, IncomingSession] = {}  # whose peers have not said who they are
+        self.unidentified: dict[int, IncomingSession] = {}  # Sessions whose peers have sent no handshake.
         self.last_number = 0
-        self.bytes_in_before = 0  # of connections that have ended
+        # Traffic of the connections that have ended.
+        self.bytes_in_before = 0
         self.bytes_out_before = 0
 
-    # As owner of the streams.
+    # MessageStreamOwner.
 
     def stream_opened(self, stream: MessageStream) -> None:
-        """A peer has connected."""
-        # Guards against EMFILE, at which nobody could be told anything any more.
+        """Opens a session for a peer that has connected, if the process can spare the descriptor."""
+        # At EMFILE the process could not even accept a connection in order to refuse it.
         if len(self.by_number) >= self.max_open:
-            return stream.close("no descriptors left", at_once=True)
+            return stream.close(f"expected at most {self.max_open} connections", at_once=True)
         self.last_number += 1
         session = IncomingSession(self.last_number, stream, boot_time_now())
         self.by_number[session.number] = self.by_stream[stream] = session
         self.unidentified[session.number] = session
 
     def message_received(self, stream: MessageStream, message: Message) -> None:
-        """From a peer."""
+        """Passes a peer's message on to the role that serves the session."""
         session = self.by_stream.get(stream)
         if session is None:
             return
@@ -82,20 +85,22 @@
             run_guarded(session.role.on_message, self.log, boot_time_now(), session.number, message)
 
     def identify(self, session: IncomingSession, message: Message) -> None:
-        """The first message says who the peer is."""
+        """Chooses the role that serves a session by the peer's first message, which must be a handshake."""
         role = None
         if type(message) is HandshakeRequest:
             role = self.relay if message.role == "node" else self.publisher
-        # Guards against a peer that has not said who it is, and relays that take this one for a voter.
+        # Refuses peers that begin with another message, and relays if this process is not a voter.
         if role is None:
-            return session.stream.close("no word of one that may come here", at_once=True)
+            return session.stream.close("expected a handshake with a role that is served here", at_once=True)
         session.role = role
         del self.unidentified[session.number]
-        session.stream.decoder.max_frame_bytes = NODE_FRAME_BYTES if role is self.relay else MAX_FRAME_BYTES
+        session.stream.decoder.max_frame_bytes = (
+            MAX_NODE_FRAME_BYTES if role is self.relay else MAX_FRAME_BYTES
+        )
         run_guarded(role.on_handshake, self.log, boot_time_now(), session.number, message)
 
     def stream_ended(self, stream: MessageStream, reason: str) -> None:
-        """By either end."""
+        """Ends the session of a stream that either side has closed, and informs its role."""
         self.bytes_in_before += stream.bytes_in
         self.bytes_out_before += stream.bytes_out
         session = self.by_stream.pop(stream, None)
@@ -106,35 +111,38 @@
         if session.role is not None:
             run_guarded(session.role.on_session_ended, self.log, boot_time_now(), session.number)
 
-    # For the host of relay and publisher.
+    # Called by the host of relay and publisher.
 
     def send(self, number: int, message: Message | EncodedMessage) -> None:
-        """Nothing happens where there is no such session any more."""
+        """Sends a message on a session; does nothing if the session has ended."""
         if number in self.by_number:
             self.by_number[number].stream.send(message)
 
     def unsent_bytes(self, number: int) -> int:
-        """Written to that session, and not taken by its peer."""
+        """Returns how many bytes written to a session are still in the write buffer; 0 if it has ended."""
         return self.by_number[number].stream.unsent_bytes() if number in self.by_number else 0
 
     def end(self, number: int, reason: str) -> None:
-        """Closes the connection, if there is one yet."""
+        """Closes a session's connection; does nothing if the session has ended."""
         if number in self.by_number:
             self.by_number[number].stream.close(reason)
 
-    def end_unidentified(self, longest: int) -> None:
-        """Guards against connections that say nothing: they would take all descriptors."""
+    def end_unidentified(self, timeout: int) -> None:
+        """Closes connections without a handshake within `timeout`, in tenths of a millisecond.
+
+        Otherwise silent connections could use up all descriptors.
+        """
         now = boot_time_now()
-        for session in [one for one in self.unidentified.values() if now - one.opened_at > longest]:
-            session.stream.close("said nothing", at_once=True)
+        for session in [s for s in self.unidentified.values() if now - s.opened_at > timeout]:
+            session.stream.close("no handshake received", at_once=True)
 
     def end_all(self, reason: str) -> None:
-        """The process ends."""
+        """Closes all connections when the process ends."""
         for session in list(self.by_number.values()):
             session.stream.close(reason)
 
     def traffic(self) -> tuple[int, int]:
-        """Bytes in and out so far."""
+        """Returns the bytes received and sent since the process started."""
         streams = [session.stream for session in self.by_number.values()]
         bytes_in = self.bytes_in_before + sum(stream.bytes_in for stream in streams)
         return bytes_in, self.bytes_out_before + sum(stream.bytes_out for stream in streams)
