--- a/basalthoist/net/control/message_stream.py
+++ b/basalthoist/net/control/message_stream.py
@@ -1,4 +1,4 @@
-"""Connections of the distribution: messages in frames over TCP, one protocol class for both ends."""
+"""Connections of the distributed configuration: framed messages over TCP, with one class for both ends."""
 
 import asyncio
 import os
@@ -12,33 +12,33 @@
 from basalthoist.net.runtime.descriptors import DescriptorBudget
 from basalthoist.net.runtime.timers import boot_time_now
 
-UNIDENTIFIED_FRAME_BYTES = 64 * 1024  # at most, from a peer that has not said who it is
-LINGER_S = 2.0  # how long the peer of a closed connection has to take what was written
+MAX_UNIDENTIFIED_FRAME_BYTES = 64 * 1024  # For a peer that has sent no handshake.
+LINGER_S = 2.0  # A closed connection is aborted if its peer has not read what was written by then.
 UNBOUNDED_BYTES = 1 << 30
 
 
 class MessageStreamOwner(Protocol):
-    """Whoever holds the connection."""
+    """Receives the events of a stream."""
 
     def stream_opened(self, stream: "MessageStream") -> None:
-        """It is connected."""
+        """Called when the stream is connected."""
 
     def message_received(self, stream: "MessageStream", message: Message) -> None:
-        """A message has come."""
+        """Called with each message that was received."""
 
     def stream_ended(self, stream: "MessageStream", reason: str) -> None:
-        """Once, whoever ended it."""
+        """Called exactly once, whichever side ended the stream."""
 
 
 class MessageStream(asyncio.Protocol):
-    """A connection, as messages each way."""
+    """A connection that carries messages in both directions."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         key: bytes,
         owner: MessageStreamOwner,
-        max_frame_bytes: int = UNIDENTIFIED_FRAME_BYTES,
+        max_frame_bytes: int = MAX_UNIDENTIFIED_FRAME_BYTES,
     ) -> None:
         self.loop = loop
         self.key = key
@@ -51,21 +51,21 @@
         self.bytes_out = 0
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """From the event loop."""
+        """Starts the stream. Called by the event loop."""
         self.transport = transport
-        # What waits is counted by `unsent_bytes`; a peer that is too slow is ended.
+        # Writing is never paused: the owner checks `unsent_bytes` and ends a peer that reads too slowly.
         transport.set_write_buffer_limits(high=UNBOUNDED_BYTES)
         if self.is_over:
             return transport.abort()
         self.owner.stream_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """From the event loop."""
+        """Passes on each complete message. Called by the event loop."""
         self.bytes_in += len(data)
         try:
             messages = self.decoder.feed(data)
         except ValueError as error:
-            # Guards against a peer of another fleet, and damage: neither gets an answer.
+            # Neither a peer of another fleet nor one that sends damaged frames gets an answer.
             return self.close(str(error), at_once=True)
         for message in messages:
             if self.is_over:
@@ -73,28 +73,31 @@
             self.owner.message_received(self, message)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """From the event loop."""
-        self.end(self.end_reason or (str(error) if error is not None else "ended by the other end"))
+        """Ends the stream. Called by the event loop."""
+        self.end(self.end_reason or (str(error) if error is not None else "closed by the peer"))
 
     def end(self, reason: str) -> None:
-        """There is no connection any more, or none came about."""
+        """Informs the owner that the connection was lost or could not be opened."""
         if not self.is_over:
             self.is_over = True
             self.owner.stream_ended(self, reason)
 
     def send(self, message: Message | EncodedMessage) -> None:
-        """Nothing happens on a connection that has ended."""
+        """Sends a message; does nothing if the connection has ended."""
         if not self.is_over and self.transport is not None and not self.transport.is_closing():
             data = encode(self.key, message)
             self.bytes_out += len(data)
             self.transport.write(data)
 
     def unsent_bytes(self) -> int:
-        """Written, and not taken by the peer."""
+        """Returns how many written bytes are still in the write buffer."""
         return self.transport.get_write_buffer_size() if self.transport is not None else 0
 
     def close(self, reason: str = "", at_once: bool = False) -> None:
-        """It is closed before anybody is told; the owner learns of it later, not from in here."""
+        """Closes the connection; `at_once` discards what has not been sent yet.
+
+        The owner's `stream_ended` is called later from the event loop, never from within this method.
+        """
         if self.is_over:
             return
         self.is_over, self.end_reason = True, reason
@@ -105,29 +108,32 @@
         self.loop.call_soon(self.owner.stream_ended, self, reason)
 
     def close_transport(self) -> None:
-        """Guards against a peer that reads nothing more: what waits for it would wait for good."""
+        """Closes the transport, and aborts it after LINGER_S if the peer has not read everything by then."""
         if self.transport is not None:
             self.transport.close()
             self.loop.call_later(LINGER_S, self.transport.abort)
 
 
 class PeerSession(Protocol):
-    """What decides what goes over an outgoing connection."""
+    """The protocol logic behind an outgoing connection."""
 
     def on_connected(self, now: int) -> None:
-        """The connection is open."""
+        """Called when the connection is open."""
 
     def on_message(self, now: int, message: Message) -> None:
-        """From the peer."""
+        """Called with each message of the peer."""
 
     def on_disconnected(self, now: int) -> None:
-        """It has ended, or none came about; not after `OutgoingConnection.close`."""
+        """Called when the connection was lost or could not be opened, but not after a call of `close`."""
 
 
 class OutgoingConnection:
-    """The one connection that a node or a relay's process keeps to its peer, and host of its `session`."""
+    """The only connection of a node or a relay process to its peer, and the host of its `session`.
+
+    The creator of the object must set `session`.
+    """
 
-    session: PeerSession  # set by whoever makes it
+    session: PeerSession
 
     def __init__(
         self,
@@ -142,16 +148,17 @@
         self.descriptors = descriptors
         self.stream: MessageStream | None = None
         self.attempt: asyncio.Task | None = None
-        self.has_descriptor = False  # of the budget
-        self.bytes_in_before = 0  # of the streams before
+        self.has_descriptor = False  # Whether a descriptor is taken from the budget.
+        # Traffic of earlier streams.
+        self.bytes_in_before = 0
         self.bytes_out_before = 0
 
     def connect(self, address: str) -> None:
-        """The connection before ends."""
+        """Closes the connection if there is one, and starts to open a connection to the address."""
         try:
             host_port = address_of(address)
         except ValueError:
-            # Guards against a relay's entry that names no address: it counts as one that does not answer.
+            # A relay's entry may contain a malformed address: treated like a relay that does not answer.
             self.loop.call_soon(self.session.on_disconnected, boot_time_now())
             return
         self.close()
@@ -162,14 +169,14 @@
         self.attempt = self.loop.create_task(self.open(stream, host_port))
 
     async def open(self, stream: MessageStream, address: tuple[str, int]) -> None:
-        """Whoever waits for it says when it has had its time."""
+        """Opens the stream's connection. Has no timeout: the session calls `close` when it stops waiting."""
         try:
             await self.loop.create_connection(lambda: stream, *address)
         except OSError as error:
             stream.end(str(error))
 
     def close(self) -> None:
-        """Also one that is still being opened."""
+        """Closes the connection, or cancels the attempt to open it."""
         stream, self.stream = self.stream, None
         if self.attempt is not None and not self.attempt.done():
             self.attempt.cancel()
@@ -183,58 +190,59 @@
             self.descriptors.release()
 
     def send(self, message: Message | EncodedMessage) -> None:
-        """Nothing happens without a connection."""
+        """Sends a message; does nothing if there is no connection."""
         if self.stream is not None:
             self.stream.send(message)
 
     def traffic(self) -> tuple[int, int]:
-        """Bytes in and out so far."""
+        """Returns the bytes received and sent since the process started."""
         stream = self.stream
         bytes_in, bytes_out = (stream.bytes_in, stream.bytes_out) if stream is not None else (0, 0)
         return self.bytes_in_before + bytes_in, self.bytes_out_before + bytes_out
 
-    # As owner of the stream. An earlier one that ends later is nothing to the session.
+    # MessageStreamOwner. Events of an earlier stream are ignored.
 
     def stream_opened(self, stream: MessageStream) -> None:
-        """The peer takes messages."""
+        """Informs the session that the peer can be sent messages."""
         if stream is self.stream:
             self.session.on_connected(boot_time_now())
 
     def message_received(self, stream: MessageStream, message: Message) -> None:
-        """From the peer."""
+        """Handles a message of the peer."""
         if stream is self.stream:
             self.on_message(message)
 
     def stream_ended(self, stream: MessageStream, reason: str) -> None:
-        """By the peer, or none came about."""
+        """Informs the session that the connection was lost or could not be opened."""
         if stream is self.stream:
             self.close()
             self.session.on_disconnected(boot_time_now())
 
     def on_message(self, message: Message) -> None:
-        """Hands it to the session."""
+        """Passes a message on to the session."""
         run_guarded(self.session.on_message, self.log, boot_time_now(), message)
 
 
 def new_incarnation() -> int:
-    """Of a process that begins: greater than those of this machine before it, also where its clock was set.
+    """Returns the incarnation of a process: greater than that of any earlier process on this machine.
 
-    By the time since the machine began, which no step of the wall clock moves. After a restart of the machine
-    it begins anew: then the process counts as earlier for as long as a session of the one before is open.
+    The number is based on the time since boot, which steps of the wall clock do not change. After a reboot
+    the numbers start again, so the process counts as older than its predecessor while the predecessor's
+    session is still open.
     """
     return (
         time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000 << 10 | int.from_bytes(os.urandom(2), "big") & 1023
     )
 
 
-def run_guarded(act: Callable[..., None], log: Callable[[str], None], *arguments: object) -> None:
-    """Guards against a message that breaks something here: it ends no more than itself."""
+def run_guarded(function: Callable[..., None], log: Callable[[str], None], *arguments: object) -> None:
+    """Calls the function and logs any exception, so that a faulty message ends only its own handling."""
     try:
-        act(*arguments)
+        function(*arguments)
     except Exception as error:
         with suppress(Exception):
-            step = error.__traceback__
-            while step.tb_next is not None:
-                step = step.tb_next
-            place = f"{step.tb_frame.f_code.co_name} {step.tb_lineno}"
-            log(f"distribution: {act.__name__} failed: {error!r} at {place}")
+            traceback = error.__traceback__
+            while traceback.tb_next is not None:
+                traceback = traceback.tb_next
+            location = f"{traceback.tb_frame.f_code.co_name} {traceback.tb_lineno}"
+            log(f"distribution: {function.__name__} failed: {error!r} at {location}")
