--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -25,7 +25,7 @@
 
 from basalthoist.addresses import address_of
 from basalthoist.decisions.interface import Outcome
-from basalthoist.net.control.maintenance import MOST_NAMES, Maintenance, MaintenanceState
+from basalthoist.net.control.maintenance import MAX_NAMES, Maintenance, MaintenanceState
 from basalthoist.net.runtime.disk_worker import TaskError, outcome_of
 
 
@@ -226,8 +226,8 @@
     made, _, _ = kept()
     made.on_listed(["a"])
     said(made, "a", True)
-    made.on_listed(str(n) for n in range(2 * MOST_NAMES))
-    assert len(made.listed) == MOST_NAMES
+    made.on_listed(str(n) for n in range(2 * MAX_NAMES))
+    assert len(made.listed) == MAX_NAMES
     assert said(made, "a", False) == ""
 
 
