--- a/basalthoist/net/control/maintenance.py
+++ b/basalthoist/net/control/maintenance.py
@@ -80,8 +80,8 @@
         else:
             self.stored.discard(name)
         if self.change(name, banned):
-            # Two processes may change bans at the same time, and the later write of one process may lack
-            # the change of the other. Both therefore write the file again with both changes.
+            # Two processes may change bans at the same time, so that the last write of the file lacks the
+            # other's change. A process therefore writes the file again once it has received a change.
             self.unsaved = self.path is not None
             self.save()
 
--- a/basalthoist/net/control/pending_calls.py
+++ b/basalthoist/net/control/pending_calls.py
@@ -1,4 +1,4 @@
-"""Operators' calls that are on their way to the leader, and who waits for the answer to each."""
+"""Operators' calls that were sent to the leader, with the callers that wait for the answers."""
 
 from collections.abc import Callable
 
@@ -6,7 +6,7 @@
 
 
 class PendingCalls:
-    """Each caller is answered once. Ids begin after `last_id`."""
+    """Maps ids of calls to callers and answers each caller once. Ids start at `last_id` + 1."""
 
     def __init__(self, last_id: int = 0) -> None:
         self.last_id = last_id
@@ -16,18 +16,18 @@
         return bool(self.callers)
 
     def add(self, caller: Answer) -> int:
-        """The id of a new call."""
+        """Registers the caller of a new call; returns the call's id."""
         self.last_id += 1
         self.callers[self.last_id] = caller
         return self.last_id
 
     def answer(self, call_id: int, text: str) -> None:
-        """Nothing happens where the caller has its answer."""
+        """Answers a call's caller; does nothing if the call has been answered before."""
         caller = self.callers.pop(call_id, None)
         if caller is not None:
             caller(text)
 
     def answer_all(self, text: str) -> None:
-        """To all who still wait."""
+        """Answers all callers that still wait with the same text."""
         for call_id in list(self.callers):
             self.answer(call_id, text)
--- a/basalthoist/net/control/store_file.py
+++ b/basalthoist/net/control/store_file.py
@@ -1,6 +1,6 @@
-"""A store's file: written whole now and then, and behind that each change that became pending since.
+"""The file of a relay's store: a snapshot, followed by each change that has become pending since.
 
-It is never proof of what is committed: a head is.
+The file never proves that a change was committed; only the register's head does.
 """
 
 import gc
@@ -13,45 +13,45 @@
 from basalthoist.net.runtime.atomic_files import AppendOnlyFile
 from basalthoist.net.runtime.disk_worker import DiskWorker, TaskError
 
-NAME = "distribution.msgpack"
+FILE_NAME = "distribution.msgpack"
 
 
 class StoreFile:
-    """Reads the store at the start, and keeps it. Without a folder nothing is kept."""
+    """Reads the store when the process starts, and stores its changes. Without a folder nothing is stored."""
 
     def __init__(
         self, folder: str, fleet: str, history_bytes: int, disk_worker: DiskWorker, log: Callable[[str], None]
     ) -> None:
-        self.path = os.path.join(folder, NAME) if folder else None
+        self.path = os.path.join(folder, FILE_NAME) if folder else None
         self.fleet = fleet
         self.disk_worker = disk_worker
         self.log = log
         self.file = AppendOnlyFile(self.path)
         self.store = Store.from_bytes(fleet, read_file(self.path, log) or b"", history_bytes)
-        self.is_saved = False  # the file has been written whole, and can be added to
+        self.has_snapshot = False  # Whether the file is complete, so that changes can be appended to it.
 
     def append_pending(self) -> None:
-        """The store has another pending change."""
+        """Appends the store's new pending change to the file, or writes a new snapshot."""
         if self.path is None:
             return
         record = self.store.pending_record()
-        if self.is_saved and not self.store.needs_rewrite():
-            self.disk_worker(partial(self.file.append, record), self.written)
+        if self.has_snapshot and not self.store.needs_rewrite():
+            self.disk_worker(partial(self.file.append, record), self.on_written)
         else:
             self.save()
 
     def save(self) -> None:
-        """Written whole where it has to be, beside the event loop, one piece of work after the other."""
-        if self.path is not None and (self.store.needs_rewrite() or not self.is_saved):
-            self.is_saved = True
-            # Guards against the collector, which would stand still over all entries again and again.
+        """Writes a snapshot if one is needed. The disk worker runs writes and appends in order."""
+        if self.path is not None and (self.store.needs_rewrite() or not self.has_snapshot):
+            self.has_snapshot = True
+            # Keeps the garbage collector from pausing the process to traverse all entries repeatedly.
             gc.freeze()
             data = self.store.to_bytes(self.fleet)
-            self.disk_worker(partial(self.file.replace, data), self.written)
+            self.disk_worker(partial(self.file.replace, data), self.on_written)
 
-    def written(self, error: TaskError | None) -> None:
-        """`error` is None where all went well."""
+    def on_written(self, error: TaskError | None) -> None:
+        """Ends a write or an append; `error` is None if it succeeded."""
         if error:
-            # Guards against a file that ends before what is behind it: it is written whole the next time.
-            self.is_saved = False
+            # The file may end with a torn record, so it needs a new snapshot before the next append.
+            self.has_snapshot = False
             self.log(f"distribution: not kept: {error}")
