--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -159,7 +159,7 @@
         envelope = Envelope("n1", 1, "n0", 0, HandshakeRequest(1))
         for data in (b"", b"y", b"z" * 3000, encode(b"other voters", envelope)):
             peer.sendto(data, address_of(nodes["n0"]))
-        wait_for(lambda: "a stranger" in program.log())
+        wait_for(lambda: "unknown sender" in program.log())
         wait_for(lambda: "from n1: damaged, or of another fleet or file" in program.log())
         wait_for(lambda: "from n1: not of a length that occurs" in program.log())
     assert program.process.poll() is None
