--- a/basalthoist/net/control/incoming_sessions.py
+++ b/basalthoist/net/control/incoming_sessions.py
@@ -41,13 +41,13 @@
         self,
         relay: Relay,
         publisher: Publisher | None,
-        max_open: int,
+        max_connections: int,
         on_operator_call: Callable[[list, Answer], None],
         log: Callable[[str], None],
     ) -> None:
         self.relay = relay
         self.publisher = publisher
-        self.max_open = max_open
+        self.max_connections = max_connections
         self.on_operator_call = on_operator_call
         self.log = log
         self.by_number: dict[int, IncomingSession] = {}
@@ -63,8 +63,8 @@
     def stream_opened(self, stream: MessageStream) -> None:
         """Opens a session for a peer that has connected, if the process can spare the descriptor."""
         # At EMFILE the process could not even accept a connection in order to refuse it.
-        if len(self.by_number) >= self.max_open:
-            return stream.close(f"expected at most {self.max_open} connections", at_once=True)
+        if len(self.by_number) >= self.max_connections:
+            return stream.close(f"expected at most {self.max_connections} connections", at_once=True)
         self.last_number += 1
         session = IncomingSession(self.last_number, stream, boot_time_now())
         self.by_number[session.number] = self.by_stream[stream] = session
