--- a/basalthoist/net/control/__init__.py
+++ b/basalthoist/net/control/__init__.py
@@ -1,1 +1,1 @@
-"""Operators, and the links over which nodes are controlled: bans, gossip, fleet and distribution."""
+"""The control plane of a node: admin interface, bans, gossip, fleet and distributed configuration."""
--- a/basalthoist/net/control/relay_process.py
+++ b/basalthoist/net/control/relay_process.py
@@ -327,7 +327,7 @@
 
 
 async def run(settings: DistributionDocument, folder: str, make: type[RelayProcess] = RelayProcess) -> None:
-    """Serves until SIGTERM or SIGINT. The process's files are in `folder`; if it is empty, none are written."""
+    """Serves until SIGTERM or SIGINT. Stores files in `folder`; stores none if `folder` is empty."""
     loop = asyncio.get_running_loop()
     until = loop.create_future()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/basalthoist/net/lifecycle/__init__.py
+++ b/basalthoist/net/lifecycle/__init__.py
@@ -1,1 +1,1 @@
-"""The end of a process, and its handover to the next one."""
+"""Graceful shutdown, handover to the next process, and reload of the configuration."""
--- a/basalthoist/net/lifecycle/handover.py
+++ b/basalthoist/net/lifecycle/handover.py
@@ -1,7 +1,8 @@
-"""One process of a node handing over to the next, which starts beside it.
+"""Handover from one process of a node to the next, which starts while the first still serves.
 
-The first keeps a Unix socket in `$TMPDIR`. Whoever starts there asks it for the clients' listening socket and
-for what operators have said. The connection stays open: both are one node until it ends.
+The predecessor listens on a Unix socket in `$TMPDIR`. The successor connects to it and receives the listening
+socket for clients and the operators' bans. The connection stays open: until one of them ends, both processes
+act as one node and exchange changes of bans.
 """
 
 import asyncio
@@ -17,19 +18,22 @@
 
 SOCKET_NAME = "succession.sock"
 TEMPORARY_NAME = "succession.{pid}"
-MOST_PATH_BYTES = 104  # from which a path may be too long for the address of a Unix socket
+UNIX_PATH_LIMIT_BYTES = 104  # A path of this length may be too long for the address of a Unix socket.
 BACKLOG = 4
 
 
 class HandoverResult(NamedTuple):
-    """Whether there is a process before this one, and the listening socket that it has handed over."""
+    """The result of a request to hand over; `listening` is None if no listening socket was handed over."""
 
     has_predecessor: bool
     listening: socket.socket | None
 
 
 class Handover:
-    """Both sides of it. `on_change` is called when another process has come, has got ready or has gone."""
+    """Both sides of the handover: this process as successor and as predecessor.
+
+    `on_change` is called when another process of this node has connected, has become ready or has ended.
+    """
 
     def __init__(
         self,
@@ -51,35 +55,37 @@
         self.timeout_s: float = timeout_s
         self.predecessor: HandoverConnection | None = None
         self.successors: list[HandoverConnection] = []
-        self.listening: socket.socket | None = None  # what a successor is given
-        self.shares_socket: bool = False  # this process took that from the one before it
-        self.server: socket.socket | None = None  # where successors connect
-        self.answer: asyncio.Future[socket.socket | None] | None = None  # of the predecessor
+        self.listening: socket.socket | None = None  # The listening socket to hand to a successor.
+        self.shares_socket: bool = False  # Whether this process uses its predecessor's listening socket.
+        self.server: socket.socket | None = None  # The Unix socket to which successors connect.
+        self.answer: asyncio.Future[socket.socket | None] | None = None  # The predecessor's answer.
         self.on_change: Callable[[], None] = lambda: None
-        maintenance.publish = self.spread
+        maintenance.publish = self.publish
 
     def other_processes(self) -> int:
-        """How many other processes of this node there are."""
+        """Returns how many other processes of this node are connected."""
         return len(self.successors) + (self.predecessor is not None)
 
     def has_ready_successor(self) -> bool:
-        """Whether another process admits from now on whoever waits in the queue of this one's socket."""
-        # Guards against clients left in a queue that only this process could take them from.
+        """Returns whether a ready successor accepts connections from this process's listening socket."""
+        # A successor with a listening socket of its own does not count: this process alone can accept the
+        # connections that wait in the queue of its own socket.
         return any(successor.ready and successor.shares_socket for successor in self.successors)
 
     def path_of(self, name: str) -> str:
-        """Guards against folders whose names are too long for the address of a Unix socket."""
+        """Returns a path in the folder that is short enough for the address of a Unix socket."""
         path = os.path.join(self.folder, name)
-        if len(path.encode()) < MOST_PATH_BYTES:
+        if len(path.encode()) < UNIX_PATH_LIMIT_BYTES:
             return path
-        folder = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)  # open for as long as the process lives
+        # The descriptor stays open until the process ends, because the shorter path refers to it.
+        folder = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
         self.folder = f"/proc/self/fd/{folder}"
         return os.path.join(self.folder, name)
 
-    # As the successor.
+    # As successor.
 
     async def request(self) -> HandoverResult:
-        """Asks the process before this one to hand over, where there is one."""
+        """Requests the handover from the predecessor, if there is one, and waits for at most `timeout_s`."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         sock.setblocking(False)
         try:
@@ -87,7 +93,7 @@
             await asyncio.wait_for(connecting, self.timeout_s)
         except (OSError, TimeoutError):
             sock.close()
-            return HandoverResult(False, None)  # none, or what one that is gone has left
+            return HandoverResult(False, None)  # No socket, or one left by a process that has ended.
         self.answer = self.loop.create_future()
         predecessor = HandoverConnection(self.loop, sock, self.on_predecessor_message, self.on_closed)
         self.predecessor = predecessor
@@ -98,33 +104,36 @@
         except TimeoutError:
             listening = None
         if listening is None:
-            # Guards against one that is stuck: it hinders no start, and clients are shared by the machine.
-            self.log(f"process {predecessor.pid} before this one hands nothing over")
+            # A predecessor that hangs must not prevent the start. This process then listens on a socket of
+            # its own, and the kernel distributes new connections between both sockets.
+            self.log(f"process {predecessor.pid} (predecessor) handed over no listening socket")
         else:
             self.shares_socket = True
             banned = len(self.maintenance.banned)
-            self.log(f"follows process {predecessor.pid}, {banned} backends left out")
+            self.log(f"follows process {predecessor.pid}, {banned} backends banned")
         return HandoverResult(True, listening)
 
     def on_predecessor_message(self, predecessor: HandoverConnection, message: HandoverMessage) -> None:
-        """A line of the process before this one."""
+        """Handles a message of the predecessor: its answer, or a change of bans."""
         if message.maintenance is not None:
             self.maintenance.restore(message.maintenance)
             self.complete(predecessor, self.take_listening_socket(predecessor))
         self.on_maintenance(predecessor, message)
 
     def complete(self, predecessor: HandoverConnection, listening: socket.socket | None) -> None:
-        """The predecessor has answered."""
+        """Completes the request with the listening socket that the predecessor has handed over, if any."""
         if not self.answer.done():
             self.answer.set_result(listening)
         elif listening is not None:
-            # Guards against clients whom the machine puts in a queue that nobody takes from: this process
-            # has given up waiting and listens by itself.
+            # The request has timed out and this process listens on a socket of its own. The late socket is
+            # closed, because this process would not accept the connections in its queue.
             listening.close()
-            self.log(f"process {predecessor.pid} before this one hands over too late")
+            self.log(
+                f"process {predecessor.pid} (predecessor) handed over after {self.timeout_s} s, too late"
+            )
 
     def take_listening_socket(self, predecessor: HandoverConnection) -> socket.socket | None:
-        """The listening socket that was handed over, where it is this node's own; others are closed."""
+        """Returns the handed over socket that listens on this node's address, or None; closes all others."""
         found = None
         for descriptor in predecessor.descriptors:
             sock = socket.socket(fileno=descriptor)
@@ -137,15 +146,15 @@
         return found
 
     def announce_ready(self) -> None:
-        """This process takes clients from now on, and is the one that the next is to ask."""
+        """Informs the predecessor that this process accepts clients, and starts to listen for successors."""
         if self.predecessor is not None:
             self.predecessor.send(HandoverMessage(ready=True, shares_socket=self.shares_socket))
         self.listen_for_successors()
 
-    # As the predecessor.
+    # As predecessor.
 
     def listen_for_successors(self) -> None:
-        """Puts this process's socket in the place of the one before it."""
+        """Replaces the predecessor's Unix socket in the folder by one of this process."""
         try:
             path, final = self.path_of(TEMPORARY_NAME.format(pid=os.getpid())), self.path_of(SOCKET_NAME)
             with suppress(FileNotFoundError):
@@ -157,72 +166,75 @@
             os.replace(path, final)
             self.loop.add_reader(self.server, self.accept)
         except OSError as error:
-            # Guards against a node that does not serve because it cannot be followed.
+            # The node must serve even if no successor will be able to connect.
             self.log(f"cannot be followed without a gap: {error}")
 
     def accept(self) -> None:
-        """Another process has connected."""
+        """Accepts the connection of another process."""
         with suppress(OSError):
             sock, _ = self.server.accept()
             HandoverConnection(self.loop, sock, self.on_successor_message, self.on_closed)
 
     def on_successor_message(self, successor: HandoverConnection, message: HandoverMessage) -> None:
-        """A line of a process that is to follow; with the first it asks to be handed the node."""
+        """Handles a message of a successor; the first is its request to hand over."""
         if successor not in self.successors:
             return self.hand_over(successor, message)
         if message.ready:
             successor.ready, successor.shares_socket = True, message.shares_socket
-            self.log(f"process {successor.pid} is ready to follow")
+            self.log(f"process {successor.pid} (successor) is ready")
             self.on_change()
         self.on_maintenance(successor, message)
 
     def hand_over(self, successor: HandoverConnection, message: HandoverMessage) -> None:
-        """Gives a successor what operators have said, and the listening socket."""
+        """Sends a successor the operators' bans and the listening socket."""
         if (message.node, message.listen, successor.user) != (self.name, self.listen, os.getuid()):
-            # Guards against handing this node's clients to another one.
-            asked = f"{message.node!r} at {message.listen!r}"
-            self.log(f"process {successor.pid} is not one of this node's: {asked}")
+            # The clients of this node must not be handed to another node or user.
+            got = f"{message.node!r} at {message.listen!r} of user {successor.user}"
+            self.log(
+                f"process {successor.pid} refused as successor:"
+                f" expected {self.name!r} at {self.listen!r} of user {os.getuid()}, got {got}"
+            )
             return successor.close()
-        self.log(f"process {successor.pid} is to follow")
+        self.log(f"process {successor.pid} (successor) has connected")
         self.successors.append(successor)
         descriptors = [self.listening.fileno()] if self.listening is not None else []
         successor.send(HandoverMessage(maintenance=self.maintenance.state()), *descriptors)
         self.on_change()
 
-    # Between both.
+    # As predecessor and as successor.
 
     def on_maintenance(self, source: HandoverConnection, message: HandoverMessage) -> None:
-        """An operator's call at another process of this node, if the line brings one."""
+        """Applies and passes on a change of bans at another process, if the message contains one."""
         if message.backend:
             self.maintenance.on_published(message.backend, message.banned)
-            self.spread(message.backend, message.banned, source)
+            self.publish(message.backend, message.banned, source)
 
     def connections(self) -> list[HandoverConnection]:
-        """Those to all other processes of this node."""
+        """Returns the connections to all other processes of this node."""
         found = [*self.successors, self.predecessor]
         return [connection for connection in found if connection is not None]
 
-    def spread(self, name: str, banned: bool, source: HandoverConnection | None = None) -> None:
-        """Tells the other processes of an operator's call, but for the one that it came from."""
+    def publish(self, name: str, banned: bool, source: HandoverConnection | None = None) -> None:
+        """Sends a change of bans to the other processes, except to the one that it came from."""
         for connection in self.connections():
             if connection is not source:
                 connection.send(HandoverMessage(backend=name, banned=banned))
 
     def on_closed(self, connection: HandoverConnection) -> None:
-        """Another process has ended, or its connection."""
+        """Handles the end of another process, or of the connection to it."""
         if connection is self.predecessor:
             self.predecessor = None
-            self.log(f"process {connection.pid} before this one has ended")
+            self.log(f"process {connection.pid} (predecessor) has ended")
             if not self.answer.done():
                 self.answer.set_result(None)
         elif connection in self.successors:
             self.successors.remove(connection)
-            ready = "after it got ready" if connection.ready else "before it was ready"
-            self.log(f"process {connection.pid} that was to follow has gone, {ready}")
+            ready = "after it was ready" if connection.ready else "before it was ready"
+            self.log(f"process {connection.pid} (successor) has ended, {ready}")
         self.on_change()
 
     def close(self) -> None:
-        """The process ends: from here on the others are no news."""
+        """Closes all connections as the process ends. Events of other processes are ignored from now on."""
         self.on_change, self.log = lambda: None, lambda line: None
         if self.server is not None:
             self.loop.remove_reader(self.server)
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -101,7 +101,7 @@
         running = after
     statuses = load.end()
     assert set(statuses) == {"200"} and len(statuses) > 100
-    assert "before this one has ended" in running.log()
+    assert "(predecessor) has ended" in running.log()
 
 
 def test_exchanges_under_way_at_the_old_process_are_answered(upgraded):
@@ -163,9 +163,9 @@
 def test_where_the_next_process_dies_before_its_yes_the_old_one_serves_on(upgraded):
     program, _, follow = upgraded(reply())
     after = follow(wait=False)
-    wait_for(lambda: "is to follow" in program.log())
+    wait_for(lambda: "(successor) has connected" in program.log())
     after.process.kill()
-    wait_for(lambda: "has gone" in program.log())
+    wait_for(lambda: "(successor) has ended" in program.log())
     program.process.terminate()  # a planned restart, as ever
     assert program.ask(request()).status == "200"
     assert program.process.wait(5) == 0
@@ -190,7 +190,7 @@
     program, _, follow = upgraded(reply())
     after = follow()
     program.process.kill()
-    wait_for(lambda: "before this one has ended" in after.log())
+    wait_for(lambda: "(predecessor) has ended" in after.log())
     for number in range(20):
         assert after.ask(request(ident=str(number))).status == "200"
 
@@ -214,7 +214,7 @@
     program, _, _ = upgraded(reply(), limits={"linger_s": 1.0})
     with hello(tmp_path / "kept", program.made["name"], program.made["listen"]) as sock:
         sock.sendall(b'{"ready":true}\n')
-        wait_for(lambda: "ready to follow" in program.log())
+        wait_for(lambda: "(successor) is ready" in program.log())
         program.process.terminate()
         wait_for(lambda: "draining started" in program.log())
         assert program.ask(request()).status == "200"
@@ -282,7 +282,7 @@
     program, _, follow = upgraded(reply())
     program.process.send_signal(signal.SIGSTOP)
     after = follow()
-    assert "hands nothing over" in after.log()
+    assert "(predecessor) handed over no listening socket" in after.log()
     program.process.kill()
     program.process.wait()
     assert after.ask(request()).status == "200"
@@ -308,7 +308,7 @@
         of_two = held(after)
         program.process.kill()
         program.process.wait()
-        wait_for(lambda: "before this one has ended" in after.log())
+        wait_for(lambda: "(predecessor) has ended" in after.log())
         for _ in range(150):
             stack.enter_context(program.connect())
         wait_for(lambda: held(after) > of_two)
@@ -329,7 +329,7 @@
         after = follow(peer_listen=own, peers=[own, other])
         program.process.terminate()
         assert program.process.wait(5) == 0
-        wait_for(lambda: "before this one has ended" in after.log())
+        wait_for(lambda: "(predecessor) has ended" in after.log())
         time.sleep(0.2)
         in_the_way.close()
 
