--- a/basalthoist/net/lifecycle/handover_connection.py
+++ b/basalthoist/net/lifecycle/handover_connection.py
@@ -1,4 +1,4 @@
-"""The connection between two processes of one node: lines of JSON, and sockets handed over with them."""
+"""The connection between two processes of one node: lines of JSON, some of them with file descriptors."""
 
 import asyncio
 import os
@@ -10,23 +10,27 @@
 
 from basalthoist.net.control.maintenance import MaintenanceState
 
-MOST_LINE_BYTES = 1 << 20  # of what is not yet a complete line
+MAX_LINE_BYTES = 1 << 20  # Checked against the bytes of an incomplete line.
 READ_BYTES = 65536
-MOST_DESCRIPTORS = 4  # that are taken with one read
-UCRED = struct.Struct("iii")  # Linux' struct ucred: process, user, group
+MAX_DESCRIPTORS_PER_READ = 4
+UCRED = struct.Struct("iii")  # Linux's struct ucred: process id, user id, group id.
 
 
 class HandoverMessage(msgspec.Struct, omit_defaults=True):
-    """A line between two processes. Keys that another version adds are passed over."""
+    """A message between two processes, one line of JSON. Unknown keys, as of a later version, are ignored.
 
-    node: str = ""  # the first line: whose successor asks
+    A successor's first message has its node's name and address in `node` and `listen`. The predecessor
+    answers with `maintenance` and the listening socket. With `ready`, the successor says that it accepts
+    clients, and with `shares_socket`, that it uses the handed over socket. Both sides send each change of
+    bans as `backend` and `banned`.
+    """
+
+    node: str = ""
     listen: str = ""
-    maintenance: MaintenanceState | None = msgspec.field(
-        default=None, name="kept"
-    )  # the answer, with the socket
+    maintenance: MaintenanceState | None = msgspec.field(default=None, name="kept")
     ready: bool = False
-    shares_socket: bool = msgspec.field(default=False, name="shares")  # it takes clients from that socket
-    backend: str = msgspec.field(default="", name="name")  # whose maintenance begins or ends
+    shares_socket: bool = msgspec.field(default=False, name="shares")
+    backend: str = msgspec.field(default="", name="name")
     banned: bool = False
 
 
@@ -35,7 +39,7 @@
 
 
 class HandoverConnection:
-    """A connection to another process of this node. Sockets that come with a line stand in `descriptors`."""
+    """A connection to another process of this node. Received file descriptors are added to `descriptors`."""
 
     def __init__(
         self,
@@ -48,11 +52,11 @@
         self.sock: socket.socket = sock
         self.on_message: Callable[[HandoverConnection, HandoverMessage], None] = on_message
         self.on_closed: Callable[[HandoverConnection], None] = on_closed
-        self.text: bytes = b""  # of a line that is not complete yet
+        self.incomplete_line: bytes = b""
         self.descriptors: list[int] = []
         self.open: bool = True
-        self.ready: bool = False  # the process there takes clients
-        self.shares_socket: bool = False  # and takes them from the socket that it was handed
+        self.ready: bool = False  # Whether the other process accepts clients.
+        self.shares_socket: bool = False  # Whether it accepts them from the handed over socket.
         credentials = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, UCRED.size)
         pid, user, _ = UCRED.unpack(credentials)
         self.pid: int = pid
@@ -61,9 +65,9 @@
         loop.add_reader(sock, self.read)
 
     def read(self) -> None:
-        """Reads what has come and hands on each complete line."""
+        """Reads the bytes and descriptors that have arrived, and passes on each complete message."""
         try:
-            data, descriptors, _, _ = socket.recv_fds(self.sock, READ_BYTES, MOST_DESCRIPTORS)
+            data, descriptors, _, _ = socket.recv_fds(self.sock, READ_BYTES, MAX_DESCRIPTORS_PER_READ)
         except (BlockingIOError, InterruptedError):
             return
         except OSError:
@@ -71,29 +75,29 @@
         self.descriptors += descriptors
         if not data:
             return self.close()
-        *lines, self.text = (self.text + data).split(b"\n")
+        *lines, self.incomplete_line = (self.incomplete_line + data).split(b"\n")
         try:
             for line in lines:
                 if self.open:
                     self.on_message(self, DECODE(line))
-            if len(self.text) > MOST_LINE_BYTES:
-                raise ValueError("a line too long")
+            if len(self.incomplete_line) > MAX_LINE_BYTES:
+                raise ValueError(f"expected a line of at most {MAX_LINE_BYTES} bytes")
         except (msgspec.DecodeError, UnicodeDecodeError, ValueError):
-            # Guards against a process that is none of ours, or of a version that says other things.
+            # The peer is another program, or a version with incompatible messages.
             self.close()
 
     def send(self, message: HandoverMessage, *descriptors: int) -> None:
-        """Sends a line, with sockets. A connection that cannot take it at once is closed."""
+        """Sends a message with file descriptors; closes the connection if that would block."""
         line = ENCODE(message) + b"\n"
         try:
             if socket.send_fds(self.sock, [line], descriptors) < len(line):
                 raise BlockingIOError
         except OSError:
-            # Guards against a process that stands still: it is no reason to wait here.
+            # This process must not wait for one that is suspended and does not read.
             self.close()
 
     def close(self) -> None:
-        """Closes it, with the sockets that nobody has taken."""
+        """Closes the connection and all received descriptors that were not used."""
         if self.open:
             self.open = False
             self.loop.remove_reader(self.sock)
