--- a/basalthoist/net/lifecycle/shutdown.py
+++ b/basalthoist/net/lifecycle/shutdown.py
@@ -1,7 +1,7 @@
-"""The graceful shutdown of a front end: it still accepts connections for a while, and answers all in time.
+"""The graceful shutdown of a front end: it accepts connections for a while and answers every request.
 
-SIGKILL may come the longest timeout and `kill_after_s` after SIGTERM. Nothing is unanswered by then, with
-`kill_margin_s` to spare for a node that reads the signal late and for the exit of the process.
+SIGKILL may follow SIGTERM after the longest timeout of any route plus `kill_after_s`. Every request is
+answered `kill_margin_s` before that: the margin covers a late read of SIGTERM and the exit of the process.
 """
 
 import asyncio
@@ -13,50 +13,56 @@
 from basalthoist.net.listener import Listener
 from basalthoist.net.runtime.timers import SECOND, Timers, now
 
-CHECK_INTERVAL = SECOND // 100  # between two looks at what is left once the time is up
-CLOSE_GRACE = SECOND // 10  # how long a client then has to close after its last response
+CHECK_INTERVAL = SECOND // 100  # Between two checks for open connections once the time is up.
+CLOSE_GRACE = SECOND // 10  # For clients to close their connections after the last response.
 
 
 class DrainedConnection(Protocol):
-    """A client's connection, at the end of the process."""
+    """A client's connection during the shutdown."""
 
     def close_for_shutdown(self, last: bool) -> None:
-        """What is unanswered is answered now. `last`: a client with its response had the time to close."""
+        """Answers every unanswered request now, and closes the connection once that is possible.
+
+        With `last`, the time for the client to close it after its last response has passed as well.
+        """
 
 
 class DrainedFrontEnd(Protocol):
-    """What accepts clients' connections, by whichever protocol."""
+    """A front end of any protocol. `longest_timeout` is that of any route, in tenths of a millisecond."""
 
     loop: asyncio.AbstractEventLoop
     timers: Timers
     dispatcher: RequestDispatcher
-    longest_timeout: int  # of any route, in tenths of a millisecond
+    longest_timeout: int
     listener: Listener | None
 
     @property
     def limits(self) -> Limits:
-        """The configured limits."""
+        """Returns the configured limits."""
 
     @property
     def connections(self) -> Collection[DrainedConnection]:
-        """The open connections."""
+        """Returns the open connections."""
 
     def close_idle_connections(self) -> None:
-        """Closes those on which nothing is in progress, read in part, or has come unread."""
+        """Closes connections without a request in progress, a partly read request or unread input."""
 
     def listener_shared(self) -> bool:
-        """Whether another process may accept connections from the same listening socket."""
+        """Returns whether another process may accept connections from the same listening socket."""
 
 
 class ShutdownSpans(NamedTuple):
-    """Spans from SIGTERM, in tenths of a millisecond."""
+    """Times since SIGTERM, in tenths of a millisecond.
+
+    No new connection is accepted after `drain_grace`, and every request is answered after `answer_time`.
+    """
 
-    drain_grace: int  # until no new connection is accepted
-    answer_time: int  # until everything is answered
+    drain_grace: int
+    answer_time: int
 
 
 def shutdown_spans(limits: Limits, longest_timeout: int) -> ShutdownSpans:
-    """The spans of a shutdown. `longest_timeout`: of any route, in tenths of a millisecond."""
+    """Returns the spans of a shutdown. `longest_timeout` is in tenths of a millisecond, as are the spans."""
     drain_grace = int(limits.linger_s * SECOND)
     before_kill = int((limits.kill_after_s - limits.kill_margin_s) * SECOND)
     answer_time = max(longest_timeout + before_kill, drain_grace + CHECK_INTERVAL)
@@ -64,7 +70,7 @@
 
 
 class Shutdown:
-    """The shutdown of one front end. `drained` is done once nothing is unanswered there."""
+    """The shutdown of one front end. `drained` is done once all its connections are closed."""
 
     def __init__(self, front_end: DrainedFrontEnd) -> None:
         self.front_end: DrainedFrontEnd = front_end
@@ -75,15 +81,15 @@
         self.drained: asyncio.Future = front_end.loop.create_future()
 
     def begin(self) -> None:
-        """SIGTERM has come."""
+        """Starts the shutdown, after SIGTERM."""
         spans = shutdown_spans(self.front_end.limits, self.front_end.longest_timeout)
         self.front_end.dispatcher.ends_at = now() + spans.answer_time
         self.timers.after(spans.drain_grace, self.stop_listening)
-        # Guards against clients that never complete a request or read a response: none is open by then.
+        # Also ends the connections of clients that never complete a request or never read a response.
         self.timers.after(spans.answer_time, self.answer_all)
 
     def stop_listening(self) -> None:
-        """From here on whoever connects is refused at once and goes to another node."""
+        """Stops listening, so that new connections are refused at once and clients go to another node."""
         self.drain_grace_over = True
         self.front_end.close_idle_connections()
         if self.front_end.listener is not None:
@@ -91,7 +97,7 @@
         self.check_drained()
 
     def check_drained(self) -> None:
-        """Completes `drained` once neither a connection nor the listener is open."""
+        """Completes `drained` if no connection and no listener is open."""
         if not self.drain_grace_over or self.front_end.connections or self.drained.done():
             return
         listener = self.front_end.listener
@@ -99,7 +105,7 @@
             self.drained.set_result(None)
 
     def answer_all(self) -> None:
-        """The time is up: each connection gets the response that it waits for, and ends."""
+        """Ends all connections with the responses that they wait for, again and again until none is open."""
         if not self.time_is_up:
             self.time_is_up = True
             self.time_was_up_at = now()
