--- a/basalthoist/net/control/admin.py
+++ b/basalthoist/net/control/admin.py
@@ -9,12 +9,12 @@
 
 MAX_LINE_BYTES = 512
 BACKLOG = 100
-MAX_CALLERS = 8  # They use descriptors of the configured `reserve`.
+MAX_CALLERS = 8  # Their connections use descriptors of the configured `reserve`.
 
-# Called with the result of a call: the reason of a failure, an empty text for success, or a complete answer
-# line that begins with SUCCESS or FAILURE.
+# The result of a call is a text: empty for success, the reason of a failure, or a complete answer line that
+# begins with SUCCESS or FAILURE. An Answer is called with the result. A Call returns it, or raises CallError.
 Answer = Callable[[str], None]
-Call = Callable[[], str]  # Returns the same result text that an Answer is called with, or raises CallError.
+Call = Callable[[], str]
 DeferredCall = Callable[[Answer], None]
 CallOnId = Callable[[str, Answer], None]
 CallWithFigure = Callable[[str, str, Answer], None]
@@ -122,7 +122,8 @@
         self.timers: Timers = timers
         self.log: Log = log
         self.line_timeout: int = int(line_timeout_s * SECOND)
-        self.callers: dict[Caller, None] = {}  # In the order in which they connected.
+        # The dict keeps the callers in the order in which they connected.
+        self.callers: dict[Caller, None] = {}
         self.listener: Listener | None = None
 
     async def listen(self, loop: asyncio.AbstractEventLoop, address: tuple[str, int]) -> None:
--- a/basalthoist/net/control/bans.py
+++ b/basalthoist/net/control/bans.py
@@ -20,15 +20,15 @@
 
     def __init__(self, on_change: Callable[[str, bool], None]) -> None:
         self.on_change: Callable[[str, bool], None] = on_change
-        self.local: set[str] = set()  # Banned by this node's operators.
+        self.banned_by_operators: set[str] = set()
         self.by_source: dict[VerdictSource, set[str]] = {}
 
     def set_local(self, name: str, banned: bool) -> None:
         """Sets or lifts the ban of this node's operators on a backend."""
         if banned:
-            self.local.add(name)
+            self.banned_by_operators.add(name)
         else:
-            self.local.discard(name)
+            self.banned_by_operators.discard(name)
         if name not in self.banned_by_sources():
             self.on_change(name, banned)
 
@@ -37,9 +37,9 @@
         before = self.banned_by_sources()
         self.by_source[source] = set(names)
         after = self.banned_by_sources()
-        for name in sorted(after - before - self.local):
+        for name in sorted(after - before - self.banned_by_operators):
             self.on_change(name, True)
-        for name in sorted(before - after - self.local):
+        for name in sorted(before - after - self.banned_by_operators):
             self.on_change(name, False)
 
     def banned_by_sources(self) -> set[str]:
--- a/basalthoist/net/control/distribution.py
+++ b/basalthoist/net/control/distribution.py
@@ -203,8 +203,8 @@
             for name, (number, record) in front_end.routes.items()
         }
         self.verdicts: dict[str, dict] = {}
-        self.unconfigured_numbers: dict[bytes, int] = {}  # By name, for tenants that the file does not name.
-        # By name, for unconfigured tenants whose entry has not arrived: when their first request came.
+        self.numbers_of_unconfigured_tenants: dict[bytes, int] = {}
+        # Unconfigured tenants whose entry has not arrived, with the time of their first request.
         self.awaited_since: dict[bytes, int] = {}
         self.last_number = len(configuration.customers)
         own = configuration.name, configuration.folder
@@ -300,7 +300,7 @@
             return self.configured_tenants[name]
         if not may_exist:
             return None
-        number = self.unconfigured_numbers.get(name)
+        number = self.numbers_of_unconfigured_tenants.get(name)
         if number is None:
             number = self.add_tenant(name, self.settings.usual_quota)
             self.awaited_since[name] = boot_time_now()
@@ -309,7 +309,7 @@
     def add_tenant(self, name: bytes, quota: float) -> int:
         """Assigns a number to an unconfigured tenant and sets its quota; returns the number."""
         self.last_number += 1
-        self.unconfigured_numbers[name] = self.last_number
+        self.numbers_of_unconfigured_tenants[name] = self.last_number
         self.dispatcher.on_quota(self.last_number, quota)
         return self.last_number
 
@@ -322,11 +322,11 @@
             quota = body["quota_per_s"] if body is not None else self.configured_quotas[number]
             self.dispatcher.on_quota(number, quota)
         elif body is None:
-            number = self.unconfigured_numbers.pop(key, None)
+            number = self.numbers_of_unconfigured_tenants.pop(key, None)
             if number is not None:
                 self.dispatcher.on_quota(number, None)
-        elif key in self.unconfigured_numbers:
-            self.dispatcher.on_quota(self.unconfigured_numbers[key], body["quota_per_s"])
+        elif key in self.numbers_of_unconfigured_tenants:
+            self.dispatcher.on_quota(self.numbers_of_unconfigured_tenants[key], body["quota_per_s"])
         else:
             self.add_tenant(key, body["quota_per_s"])
 
--- a/basalthoist/net/control/fleet.py
+++ b/basalthoist/net/control/fleet.py
@@ -24,8 +24,8 @@
 if TYPE_CHECKING:
     from basalthoist.net.dispatcher import RequestDispatcher
 
-NEVER = 1 << 60  # A time that is never reached.
-MIN_TICK = 50  # Tenths of a millisecond.
+NEVER = 1 << 60
+MIN_TICK = 50  # Like all times here, in tenths of a millisecond.
 TICKS_PER_HEARTBEAT = 4
 
 
@@ -68,7 +68,7 @@
         self.dispatcher: RequestDispatcher = dispatcher
         self.set_standing_by: Callable[[bool], None] = set_standing_by
         self.tenants: list[str] = configuration.customers
-        self.fleet_quotas: dict[str, float] = {}  # By tenant, where the fleet sets one.
+        self.fleet_quotas: dict[str, float] = {}
         self.configured_quotas: list[float | None] = [
             tenant.quota for tenant in dispatcher.balancer.quotas.tenants.values()
         ]
@@ -80,11 +80,11 @@
         hint = self.hint_file.read()
         self.holder: QuotaLeaseHolder | None = self.open_limits(at) if document.limits else None
         self.replica: Replica = Replica(
-            self, self.me, nodes, voters, bounds, self.chance, at, hint, self.holder
+            self, self.me, nodes, voters, bounds, self.random, at, hint, self.holder
         )
         period = int(document.probe_s * SECOND)
         incarnation = self.handshakes.incarnation
-        self.members: Members = Members(self, self.me, incarnation, nodes, period, self.chance, at)
+        self.members: Members = Members(self, self.me, incarnation, nodes, period, self.random, at)
         self.is_standing_by: bool = not self.replica.may_forward_requests(at)
         set_standing_by(self.is_standing_by)
         timers.every(max(bounds.heartbeat_interval // TICKS_PER_HEARTBEAT, MIN_TICK), self.tick)
--- a/basalthoist/net/control/gossip_socket.py
+++ b/basalthoist/net/control/gossip_socket.py
@@ -34,7 +34,7 @@
         self.transport: asyncio.DatagramTransport | None = None
         # Counts of datagrams since the last report.
         self.malformed: int = 0
-        self.from_unknown: int = 0  # Senders outside the tier.
+        self.from_unknown_senders: int = 0
         self.unsent: int = 0
         timers.every(REPORT_INTERVAL, self.report)
 
@@ -52,14 +52,14 @@
                 try:
                     self.transport.sendto(data, self.peers[peer])
                 except OSError:
-                    self.unsent += 1  # Lost gossip is not sent again.
+                    self.unsent += 1  # Gossip is never sent again.
 
     def datagram_received(self, data: bytes, sender: tuple) -> None:
         """Passes on the messages of a peer; drops and counts any other datagram."""
         number = self.numbers.get(sender[:2])
         if number is None:
             # Only the configured peers may influence this node's decisions.
-            self.from_unknown += 1
+            self.from_unknown_senders += 1
             return self.log_dropped(f"a stranger, {sender[0]}:{sender[1]}")
         try:
             messages = decode(data)
@@ -74,17 +74,18 @@
 
     def log_dropped(self, reason: str) -> None:
         """Logs the first dropped datagram of its kind since the last report; the others are only counted."""
-        if self.malformed + self.from_unknown < 2 or self.from_unknown == 1:
+        if self.malformed + self.from_unknown_senders < 2 or self.from_unknown_senders == 1:
             self.log(f"peers: a datagram dropped: {reason}")
 
     def report(self) -> None:
         """Logs the counts since the last report, if there are any, and resets them."""
-        if self.malformed or self.from_unknown or self.unsent:
+        if self.malformed or self.from_unknown_senders or self.unsent:
             counts = (
-                f"{self.malformed} malformed, {self.from_unknown} from unknown senders, {self.unsent} unsent"
+                f"{self.malformed} malformed, {self.from_unknown_senders} from unknown senders,"
+                f" {self.unsent} unsent"
             )
             self.log(f"peers: {counts}")
-            self.malformed = self.from_unknown = self.unsent = 0
+            self.malformed = self.from_unknown_senders = self.unsent = 0
 
     def close(self) -> None:
         """Closes the socket."""
--- a/basalthoist/net/control/hint_file.py
+++ b/basalthoist/net/control/hint_file.py
@@ -46,18 +46,18 @@
         self.run_on_disk: RunOnDisk = run_on_disk
         self.log: Log = log
         self.is_writing: bool = False
-        self.pending: VerdictSet | None = None  # The set to write next.
+        self.pending_set: VerdictSet | None = None
 
     def store(self, verdicts: VerdictSet) -> None:
         """Writes the set; during another write, only the latest set is written after that."""
-        self.pending = verdicts
+        self.pending_set = verdicts
         self.write_pending()
 
     def write_pending(self) -> None:
         """Starts to write the pending set, unless a write is in progress."""
-        if self.path is None or self.is_writing or self.pending is None:
+        if self.path is None or self.is_writing or self.pending_set is None:
             return
-        verdicts, self.pending, self.is_writing = self.pending, None, True
+        verdicts, self.pending_set, self.is_writing = self.pending_set, None, True
         hint = Hint(self.fleet, verdicts.term, verdicts.version, verdicts.digest, verdicts.data)
         data = msgspec.msgpack.encode(hint)
         write = partial(write_atomically, self.path, checksum(data) + data, synced=True)
--- a/basalthoist/net/control/incoming_sessions.py
+++ b/basalthoist/net/control/incoming_sessions.py
@@ -52,7 +52,7 @@
         self.log = log
         self.by_number: dict[int, IncomingSession] = {}
         self.by_stream: dict[MessageStream, IncomingSession] = {}
-        self.unidentified: dict[int, IncomingSession] = {}  # Sessions whose peers have sent no handshake.
+        self.awaiting_handshake: dict[int, IncomingSession] = {}
         self.last_number = 0
         # Traffic of the connections that have ended.
         self.bytes_in_before = 0
@@ -68,7 +68,7 @@
         self.last_number += 1
         session = IncomingSession(self.last_number, stream, boot_time_now())
         self.by_number[session.number] = self.by_stream[stream] = session
-        self.unidentified[session.number] = session
+        self.awaiting_handshake[session.number] = session
 
     def message_received(self, stream: MessageStream, message: Message) -> None:
         """Passes a peer's message on to the role that serves the session."""
@@ -93,7 +93,7 @@
         if role is None:
             return session.stream.close("expected a handshake with a role that is served here", at_once=True)
         session.role = role
-        del self.unidentified[session.number]
+        del self.awaiting_handshake[session.number]
         session.stream.decoder.max_frame_bytes = (
             MAX_NODE_FRAME_BYTES if role is self.relay else MAX_FRAME_BYTES
         )
@@ -106,7 +106,7 @@
         session = self.by_stream.pop(stream, None)
         if session is None:
             return
-        self.unidentified.pop(session.number, None)
+        self.awaiting_handshake.pop(session.number, None)
         del self.by_number[session.number]
         if session.role is not None:
             run_guarded(session.role.on_session_ended, self.log, boot_time_now(), session.number)
@@ -127,13 +127,13 @@
         if number in self.by_number:
             self.by_number[number].stream.close(reason)
 
-    def end_unidentified(self, timeout: int) -> None:
+    def end_sessions_without_handshake(self, timeout: int) -> None:
         """Closes connections without a handshake within `timeout`, in tenths of a millisecond.
 
         Otherwise silent connections could use up all descriptors.
         """
         now = boot_time_now()
-        for session in [s for s in self.unidentified.values() if now - s.opened_at > timeout]:
+        for session in [s for s in self.awaiting_handshake.values() if now - s.opened_at > timeout]:
             session.stream.close("no handshake received", at_once=True)
 
     def end_all(self, reason: str) -> None:
--- a/basalthoist/net/control/maintenance.py
+++ b/basalthoist/net/control/maintenance.py
@@ -31,18 +31,20 @@
     """The bans of this node's operators.
 
     `on_change` is called with each change, and `publish` with each change that the node's other processes
-    do not know. `worker` runs tasks that may block, such as writing a file, off the event loop.
+    do not know. `worker` runs tasks that may block, such as writing a file, off the event loop. Without a
+    folder nothing is stored.
     """
 
     def __init__(self, folder: str, log: Log, on_change: Callable[[str, bool], None], worker: Worker) -> None:
-        self.path: str | None = os.path.join(folder, FILE_NAME) if folder else None  # None stores nothing.
+        self.path: str | None = os.path.join(folder, FILE_NAME) if folder else None
         self.log: Log = log
         self.on_change: Callable[[str, bool], None] = on_change
         self.worker: Worker = worker
         self.publish: Callable[[str, bool], None] = lambda name, banned: None
         self.banned: set[str] = set()
         self.stored: set[str] = set()  # The bans in the file, or stored by another process of this node.
-        self.listed: dict[str, None] = {}  # In the order in which they were last listed.
+        # The dict keeps the names in the order in which they were last listed.
+        self.listed: dict[str, None] = {}
         self.unsaved: bool = False  # Whether the state has changed since the last write was started.
         self.saving: bool = False
         self.waiting: list[Answer] = []  # Calls that are answered after the next write.
--- a/basalthoist/net/control/message_stream.py
+++ b/basalthoist/net/control/message_stream.py
@@ -12,7 +12,7 @@
 from basalthoist.net.runtime.descriptors import DescriptorBudget
 from basalthoist.net.runtime.timers import boot_time_now
 
-MAX_UNIDENTIFIED_FRAME_BYTES = 64 * 1024  # For a peer that has sent no handshake.
+MAX_FRAME_BYTES_BEFORE_HANDSHAKE = 64 * 1024
 LINGER_S = 2.0  # A closed connection is aborted if its peer has not read what was written by then.
 UNBOUNDED_BYTES = 1 << 30
 
@@ -38,7 +38,7 @@
         loop: asyncio.AbstractEventLoop,
         key: bytes,
         owner: MessageStreamOwner,
-        max_frame_bytes: int = MAX_UNIDENTIFIED_FRAME_BYTES,
+        max_frame_bytes: int = MAX_FRAME_BYTES_BEFORE_HANDSHAKE,
     ) -> None:
         self.loop = loop
         self.key = key
@@ -148,7 +148,7 @@
         self.descriptors = descriptors
         self.stream: MessageStream | None = None
         self.attempt: asyncio.Task | None = None
-        self.has_descriptor = False  # Whether a descriptor is taken from the budget.
+        self.has_acquired_descriptor = False
         # Traffic of earlier streams.
         self.bytes_in_before = 0
         self.bytes_out_before = 0
@@ -163,8 +163,8 @@
             return
         self.close()
         stream = self.stream = MessageStream(self.loop, self.key, self, MAX_FRAME_BYTES)
-        if self.descriptors is not None and not self.has_descriptor:
-            self.has_descriptor = True
+        if self.descriptors is not None and not self.has_acquired_descriptor:
+            self.has_acquired_descriptor = True
             self.descriptors.acquire_over_limit()
         self.attempt = self.loop.create_task(self.open(stream, host_port))
 
@@ -185,8 +185,8 @@
             self.bytes_out_before += stream.bytes_out
             stream.is_over = True
             stream.close_transport()
-        if self.has_descriptor:
-            self.has_descriptor = False
+        if self.has_acquired_descriptor:
+            self.has_acquired_descriptor = False
             self.descriptors.release()
 
     def send(self, message: Message | EncodedMessage) -> None:
--- a/basalthoist/net/control/operator_calls.py
+++ b/basalthoist/net/control/operator_calls.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from basalthoist.net.service import Service
 
-MAX_QUOTA = 1e9  # Requests per second.
+MAX_QUOTA_PER_S = 1e9
 DRAIN_REASON_TEXTS = {
     DrainReason.OPERATOR: "standby",
     DrainReason.FLEET: "view of the fleet stale",
@@ -74,7 +74,7 @@
         except ValueError:
             quota = -1.0
         # Refuses typing errors and values so large that sums of quotas would lose precision.
-        if not 0.0 <= quota <= MAX_QUOTA:
+        if not 0.0 <= quota <= MAX_QUOTA_PER_S:
             return answer(f"expected requests a second, 0 to 1e9, got {text}")
         self.propose_verdict(("quota",), True, tenant, answer, quota)
 
--- a/basalthoist/net/control/relay_process.py
+++ b/basalthoist/net/control/relay_process.py
@@ -50,9 +50,9 @@
 UNLIMITED_DESCRIPTORS = 1 << 20
 ADMIN_LINE_TIMEOUT_S = 5.0
 BACKLOG = 1024
-BIND_TIMEOUT_S = 5.0  # A previous process may not have released the address yet.
+BIND_TIMEOUT_S = 5.0  # A previous process of this relay may still have the address.
 BIND_RETRY_S = 0.05
-LAST_WRITE_TIMEOUT_S = 2.0  # For the store's file when the process ends.
+FINAL_WRITE_TIMEOUT_S = 2.0
 
 
 class RegisterVoter(ReplicaSocket):
@@ -73,7 +73,7 @@
         self.on_register_event = on_register_event
         voters = sorted(register.voters)
         self.replica = Replica(
-            self, settings.name, voters, voters, bounds, self.chance, now, self.hint_file.read()
+            self, settings.name, voters, voters, bounds, self.random, now, self.hint_file.read()
         )
 
     def tick(self) -> None:
@@ -198,7 +198,7 @@
             self.voting.tick()
         run_guarded(self.leader_session.on_tick, self.log, now)
         run_guarded(self.relay.on_tick, self.log, now)
-        self.sessions.end_unidentified(self.bounds.silent)
+        self.sessions.end_sessions_without_handshake(self.bounds.silent)
 
     def on_register_event(self) -> None:
         """Lets the publisher act on a possible change in the register's replica."""
@@ -288,7 +288,7 @@
         if self.admin is not None:
             self.admin.close()
         self.file.save()
-        await self.disk_worker.settle(LAST_WRITE_TIMEOUT_S)
+        await self.disk_worker.settle(FINAL_WRITE_TIMEOUT_S)
 
     async def open_listening_socket(self, address: tuple[str, int]) -> socket.socket:
         """Returns the listening socket for nodes and relays."""
--- a/basalthoist/net/control/replica_socket.py
+++ b/basalthoist/net/control/replica_socket.py
@@ -18,7 +18,7 @@
 from basalthoist.net.runtime.log import Log
 from basalthoist.net.runtime.timers import SECOND, Timers, boot_time_now
 
-MAX_DROP_REASONS = 8  # Reasons counted one by one in a report period; all others are counted as "others".
+MAX_DROP_REASONS = 8  # Further reasons in a report period are counted together, as "others".
 REPORT_PERIOD = 10 * SECOND
 INCARNATION_BYTES = 7
 UNKNOWN_INCARNATION = 0
@@ -52,11 +52,11 @@
         }
         self.hint_file: HintFile = HintFile(document.fleet, folder, run_on_disk, log)
         incarnation = int.from_bytes(os.urandom(INCARNATION_BYTES), "big")
-        self.chance: Lcg = Lcg(int.from_bytes(os.urandom(INCARNATION_BYTES), "big"))
-        self.handshakes: Handshakes = Handshakes(me, incarnation, self.chance, bounds.heartbeat_interval)
+        self.random: Lcg = Lcg(int.from_bytes(os.urandom(INCARNATION_BYTES), "big"))
+        self.handshakes: Handshakes = Handshakes(me, incarnation, self.random, bounds.heartbeat_interval)
         self.transport: asyncio.DatagramTransport | None = None
         # Counts of datagrams since the last report.
-        self.dropped: Counter[str] = Counter()  # By reason.
+        self.drops_by_reason: Counter[str] = Counter()
         self.unsent: int = 0
         timers.every(REPORT_PERIOD, self.report)
 
@@ -139,20 +139,20 @@
 
     def drop(self, reason: str) -> None:
         """Logs the first datagram dropped for a reason since the last report; counts the others."""
-        if len(self.dropped) >= MAX_DROP_REASONS and reason not in self.dropped:
+        if len(self.drops_by_reason) >= MAX_DROP_REASONS and reason not in self.drops_by_reason:
             reason = "others"
-        elif reason not in self.dropped:
+        elif reason not in self.drops_by_reason:
             self.log(f"fleet: a datagram dropped: {reason}")
-        self.dropped[reason] += 1
+        self.drops_by_reason[reason] += 1
 
     def report(self) -> None:
         """Logs the counts since the last report, if there are any, and resets them."""
-        for reason, times in self.dropped.items():
+        for reason, times in self.drops_by_reason.items():
             if times > 1:
                 self.log(f"fleet: dropped in 10 s, {times} times: {reason}")
         if self.unsent:
             self.log(f"fleet: {self.unsent} messages not sent")
-        self.dropped, self.unsent = Counter(), 0
+        self.drops_by_reason, self.unsent = Counter(), 0
 
     def close(self) -> None:
         """Closes the socket."""
--- a/basalthoist/net/lifecycle/handover.py
+++ b/basalthoist/net/lifecycle/handover.py
@@ -58,7 +58,7 @@
         self.listening: socket.socket | None = None  # The listening socket to hand to a successor.
         self.shares_socket: bool = False  # Whether this process uses its predecessor's listening socket.
         self.server: socket.socket | None = None  # The Unix socket to which successors connect.
-        self.answer: asyncio.Future[socket.socket | None] | None = None  # The predecessor's answer.
+        self.predecessor_answer: asyncio.Future[socket.socket | None] | None = None
         self.on_change: Callable[[], None] = lambda: None
         maintenance.publish = self.publish
 
@@ -93,14 +93,14 @@
             await asyncio.wait_for(connecting, self.timeout_s)
         except (OSError, TimeoutError):
             sock.close()
-            return HandoverResult(False, None)  # No socket, or one left by a process that has ended.
-        self.answer = self.loop.create_future()
+            return HandoverResult(False, None)  # There is no socket, or its process has ended.
+        self.predecessor_answer = self.loop.create_future()
         predecessor = HandoverConnection(self.loop, sock, self.on_predecessor_message, self.on_closed)
         self.predecessor = predecessor
         predecessor.send(HandoverMessage(self.name, self.listen))
         self.on_change()
         try:
-            listening = await asyncio.wait_for(self.answer, self.timeout_s)
+            listening = await asyncio.wait_for(self.predecessor_answer, self.timeout_s)
         except TimeoutError:
             listening = None
         if listening is None:
@@ -122,8 +122,8 @@
 
     def complete(self, predecessor: HandoverConnection, listening: socket.socket | None) -> None:
         """Completes the request with the listening socket that the predecessor has handed over, if any."""
-        if not self.answer.done():
-            self.answer.set_result(listening)
+        if not self.predecessor_answer.done():
+            self.predecessor_answer.set_result(listening)
         elif listening is not None:
             # The request has timed out and this process listens on a socket of its own. The late socket is
             # closed, because this process would not accept the connections in its queue.
@@ -225,8 +225,8 @@
         if connection is self.predecessor:
             self.predecessor = None
             self.log(f"process {connection.pid} (predecessor) has ended")
-            if not self.answer.done():
-                self.answer.set_result(None)
+            if not self.predecessor_answer.done():
+                self.predecessor_answer.set_result(None)
         elif connection in self.successors:
             self.successors.remove(connection)
             ready = "after it was ready" if connection.ready else "before it was ready"
--- a/basalthoist/net/lifecycle/handover_connection.py
+++ b/basalthoist/net/lifecycle/handover_connection.py
@@ -10,7 +10,7 @@
 
 from basalthoist.net.control.maintenance import MaintenanceState
 
-MAX_LINE_BYTES = 1 << 20  # Checked against the bytes of an incomplete line.
+MAX_LINE_BYTES = 1 << 20
 READ_BYTES = 65536
 MAX_DESCRIPTORS_PER_READ = 4
 UCRED = struct.Struct("iii")  # Linux's struct ucred: process id, user id, group id.
@@ -39,7 +39,10 @@
 
 
 class HandoverConnection:
-    """A connection to another process of this node. Received file descriptors are added to `descriptors`."""
+    """A connection to another process of this node. Received file descriptors are added to `descriptors`.
+
+    `ready` and `shares_socket` are those that the other process has sent last.
+    """
 
     def __init__(
         self,
@@ -55,8 +58,8 @@
         self.incomplete_line: bytes = b""
         self.descriptors: list[int] = []
         self.open: bool = True
-        self.ready: bool = False  # Whether the other process accepts clients.
-        self.shares_socket: bool = False  # Whether it accepts them from the handed over socket.
+        self.ready: bool = False
+        self.shares_socket: bool = False
         credentials = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, UCRED.size)
         pid, user, _ = UCRED.unpack(credentials)
         self.pid: int = pid
--- a/basalthoist/net/lifecycle/shutdown.py
+++ b/basalthoist/net/lifecycle/shutdown.py
@@ -13,8 +13,8 @@
 from basalthoist.net.listener import Listener
 from basalthoist.net.runtime.timers import SECOND, Timers, now
 
-CHECK_INTERVAL = SECOND // 100  # Between two checks for open connections once the time is up.
-CLOSE_GRACE = SECOND // 10  # For clients to close their connections after the last response.
+CHECK_INTERVAL = SECOND // 100
+CLOSE_GRACE = SECOND // 10  # Clients have this long to close their connections after the last response.
 
 
 class DrainedConnection(Protocol):
