--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -70,7 +70,7 @@
     return struct.unpack_from("Q", sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 136), 120)[0]
 
 
-def some_work(stand_in, sock, asked):
+def reply_after_30_ms(stand_in, sock, asked):
     time.sleep(0.03)
     reply()(stand_in, sock, asked)
 
@@ -79,11 +79,11 @@
 @pytest.mark.parametrize("signals", [(), (signal.SIGTERM,), (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP)])
 def test_all_is_answered_before_the_earliest_kill_though_clients_go_on_sending(start, signals, connects_s):
     routes = [route("read", "at_most_once", DEADLINE_S)]
-    program, _, _ = start(some_work, silent, some_work, settings_more={"routes": routes})
-    loses_nobody_at_the_end(program, signals, connects_s)
+    program, _, _ = start(reply_after_30_ms, silent, reply_after_30_ms, settings_more={"routes": routes})
+    assert_shutdown_answers_all_requests(program, signals, connects_s)
 
 
-def loses_nobody_at_the_end(program, signals, connects_s, extra=""):
+def assert_shutdown_answers_all_requests(program, signals, connects_s, extra=""):
     """SIGTERM, further signals, and SIGKILL at the earliest, while 24 clients go on sending."""
     senders = [Sender(program, f"c{n}", extra) for n in range(24)]
     for sender in senders:
