--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -1,4 +1,4 @@
-"""One process of a node handing over to the next, under load and when either fails."""
+"""Handover from one process of a node to the next, under load and when either process fails."""
 
 import contextlib
 import json
@@ -17,35 +17,36 @@
 
 
 @pytest.fixture
-def upgraded(start, tmp_path):
-    """The program, and how to start the next process of the same node beside it."""
-    kept, others = tmp_path / "kept", []
-    kept.mkdir()
+def upgradable(start, tmp_path):
+    """Starts a node; also returns a function that starts the next process of the same node beside it."""
+    state_folder, others = tmp_path / "state", []
+    state_folder.mkdir()
 
     def begin(*behaviours, **more):
         more.setdefault("limits", QUICK)
-        environment = {"TMPDIR": str(kept), "PROXY_ADMIN": own_address()}
+        environment = {"TMPDIR": str(state_folder), "PROXY_ADMIN": own_address()}
         program, backends, _ = start(*behaviours, environment=environment, **more)
         wait_for(lambda: at(program, "status").startswith("SUCCESS"))
 
-        def follow(wait=True, **changed):
+        def start_successor(wait=True, **changed):
             folder = tmp_path / f"next{len(others)}"
             folder.mkdir()
-            own = environment | {"PROXY_ADMIN": own_address()}
-            made = Program(folder, program.made | changed, **own)
-            others.append(made)
+            own_environment = environment | {"PROXY_ADMIN": own_address()}
+            successor = Program(folder, program.made | changed, **own_environment)
+            others.append(successor)
             if wait:
-                wait_for(lambda: at(made, "status").startswith("SUCCESS"))
-            return made
+                wait_for(lambda: at(successor, "status").startswith("SUCCESS"))
+            return successor
 
-        return program, backends, follow
+        return program, backends, start_successor
 
     yield begin
-    for one in others:
-        one.close()
+    for other in others:
+        other.close()
 
 
 def at(program, line):
+    """Returns the answer to an operator's call, or an empty text while the node refuses connections."""
     with contextlib.suppress(OSError):
         return call(program.environment["PROXY_ADMIN"], line)
     assert program.process.poll() is None, program.log()
@@ -53,27 +54,28 @@
 
 
 class Load:
-    """Clients that ask on and on: half of them keep their connection, half open one for each exchange."""
+    """Six clients that send requests until `end`; half of them open a connection for each request."""
 
     def __init__(self, program):
-        self.program, self.statuses, self.going = program, [], True
-        self.threads = [threading.Thread(target=self.ask, args=(n,)) for n in range(6)]
+        self.program, self.statuses, self.running = program, [], True
+        self.threads = [threading.Thread(target=self.send_requests, args=(n,)) for n in range(6)]
         for thread in self.threads:
             thread.start()
 
-    def ask(self, number):
+    def send_requests(self, number):
         sock = None
         for count in range(100_000):
-            if not self.going:
+            if not self.running:
                 break
-            fresh = sock is None
-            if fresh:
+            is_new = sock is None
+            if is_new:
                 sock = self.program.connect()
             try:
                 sock.sendall(request(ident=f"{number}-{count}"))
                 answer = read_message(sock.makefile("rb"))
             except (OSError, EOFError):
-                if fresh:  # a kept one may be closed between two exchanges
+                # The node may close a kept connection between two requests.
+                if is_new:
                     self.statuses.append("lost")
                 sock = None
                 continue
@@ -84,32 +86,32 @@
             time.sleep(0.002)
 
     def end(self):
-        self.going = False
+        self.running = False
         for thread in self.threads:
             thread.join()
         return self.statuses
 
 
-def test_upgrades_one_after_the_other_lose_nobody(upgraded):
-    program, _, follow = upgraded(reply(), reply())
+def test_consecutive_handovers_lose_no_request(upgradable):
+    program, _, start_successor = upgradable(reply(), reply())
     load, running = Load(program), program
     for _ in range(3):
         time.sleep(0.2)
-        after = follow()
+        successor = start_successor()
         running.process.terminate()
         assert running.process.wait(5) == 0
-        running = after
+        running = successor
     statuses = load.end()
     assert set(statuses) == {"200"} and len(statuses) > 100
     assert "(predecessor) has ended" in running.log()
 
 
-def test_exchanges_under_way_at_the_old_process_are_answered(upgraded):
-    program, (backend,), follow = upgraded(silent)
+def test_request_in_flight_at_predecessor_is_answered_after_sigterm(upgradable):
+    program, (backend,), start_successor = upgradable(silent)
     with program.connect() as sock:
         sock.sendall(request(timeout=3000))
         wait_for(lambda: backend.seen)
-        follow()
+        start_successor()
         program.process.terminate()
         time.sleep(0.4)
         reply()(backend, backend.open[0], None)
@@ -117,12 +119,12 @@
     assert program.process.wait(5) == 0
 
 
-def test_requests_behind_one_another_are_all_answered_at_the_end(upgraded):
-    program, (backend,), follow = upgraded(silent)
+def test_requests_behind_one_another_are_all_answered_at_the_end(upgradable):
+    program, (backend,), start_successor = upgradable(silent)
     with program.connect() as sock, sock.makefile("rb") as source:
         sock.sendall(request(ident="1", timeout=3000) + request(ident="2", timeout=3000))
         wait_for(lambda: backend.seen)
-        follow()
+        start_successor()
         program.process.terminate()
         for number in (1, 2):
             wait_for(lambda number=number: len(backend.seen) == number)
@@ -131,77 +133,80 @@
             assert (answer.status, "connection" in answer.headers) == ("200", number == 2)
 
 
-def test_bans_go_over_to_the_next_process_and_calls_at_either_bind_both(upgraded):
-    program, (first, second), follow = upgraded(reply(), reply())
+def test_bans_are_handed_over_and_later_changes_reach_both_processes(upgradable):
+    program, (first, second), start_successor = upgradable(reply(), reply())
     assert at(program, "maint-on s-0").startswith("SUCCESS")
-    after = follow()
-    assert at(after, "maint-off s-0").startswith("SUCCESS")
+    successor = start_successor()
+    assert at(successor, "maint-off s-0").startswith("SUCCESS")
     assert at(program, "maint-on s-1").startswith("SUCCESS")
-    wait_for(lambda: "maintenance of s-0 ends" in program.log() and "of s-1 begins" in after.log())
+    wait_for(lambda: "maintenance of s-0 ends" in program.log() and "of s-1 begins" in successor.log())
     seen = len(second.seen)
     for number in range(20):
         assert program.ask(request(ident=str(number))).status == "200"
     assert len(second.seen) == seen and first.seen
     program.process.kill()
-    assert at(follow(), "maint-on s-7") == "FAILURE s-7 was never listed\n"
+    assert at(start_successor(), "maint-on s-7") == "FAILURE s-7 was never listed\n"
     for number in range(20):
         assert program.ask(request(ident=str(number))).status == "200"
     assert len(second.seen) == seen
 
 
-def test_bans_are_in_force_before_a_process_without_a_predecessor_is_ready(upgraded):
-    program, (first, _), follow = upgraded(reply(), reply())
+def test_stored_bans_are_in_force_at_start_after_predecessor_was_killed(upgradable):
+    program, (first, _), start_successor = upgradable(reply(), reply())
     at(program, "maint-on s-0")
     program.process.kill()
     program.process.wait()
-    seen, after = len(first.seen), follow()
+    seen, successor = len(first.seen), start_successor()
     for number in range(20):
-        assert after.ask(request(ident=str(number))).status == "200"
+        assert successor.ask(request(ident=str(number))).status == "200"
     assert len(first.seen) == seen
 
 
-def test_where_the_next_process_dies_before_its_yes_the_old_one_serves_on(upgraded):
-    program, _, follow = upgraded(reply())
-    after = follow(wait=False)
+def test_predecessor_serves_on_if_successor_dies_before_it_is_ready(upgradable):
+    program, _, start_successor = upgradable(reply())
+    successor = start_successor(wait=False)
     wait_for(lambda: "(successor) has connected" in program.log())
-    after.process.kill()
+    successor.process.kill()
     wait_for(lambda: "(successor) has ended" in program.log())
-    program.process.terminate()  # a planned restart, as ever
+    # The shutdown of the predecessor is that of a process without a successor.
+    program.process.terminate()
     assert program.ask(request()).status == "200"
     assert program.process.wait(5) == 0
 
 
-def test_where_the_next_process_dies_after_the_old_one_has_stopped_taking_clients(upgraded):
-    program, (backend,), follow = upgraded(silent)
+def test_predecessor_answers_clients_if_successor_dies_while_it_drains(upgradable):
+    program, (backend,), start_successor = upgradable(silent)
     with program.connect() as sock:
         sock.sendall(request(timeout=3000))
         wait_for(lambda: backend.seen)
-        after = follow()
+        successor = start_successor()
         program.process.terminate()
         wait_for(lambda: "draining started" in program.log())
-        after.process.kill()
-        after.process.wait()
-        assert program.ask(request(ident="2")).status in ("200", "503")  # taken in
+        successor.process.kill()
+        successor.process.wait()
+        # The draining predecessor still accepts this connection.
+        assert program.ask(request(ident="2")).status in ("200", "503")
         reply()(backend, backend.open[0], None)
         assert read_message(sock.makefile("rb")).status == "200"
 
 
-def test_where_the_old_process_is_killed_the_next_one_goes_on(upgraded):
-    program, _, follow = upgraded(reply())
-    after = follow()
+def test_successor_serves_on_if_predecessor_is_killed(upgradable):
+    program, _, start_successor = upgradable(reply())
+    successor = start_successor()
     program.process.kill()
-    wait_for(lambda: "(predecessor) has ended" in after.log())
+    wait_for(lambda: "(predecessor) has ended" in successor.log())
     for number in range(20):
-        assert after.ask(request(ident=str(number))).status == "200"
+        assert successor.ask(request(ident=str(number))).status == "200"
 
 
-def test_two_upgrades_at_once(upgraded):
-    # Time enough to hand over also on a busy machine: without the one socket a few may be lost at the end.
-    program, _, follow = upgraded(reply(), limits=QUICK | {"succession_s": 10})
+def test_two_simultaneous_successors_lose_no_request(upgradable):
+    # The timeout is long enough for a handover on a busy machine: a process that times out opens a listening
+    # socket of its own, and requests in its queue may be lost when it ends.
+    program, _, start_successor = upgradable(reply(), limits=QUICK | {"succession_s": 10})
     load = Load(program)
-    both = [follow(wait=False), follow(wait=False)]
-    for one in both:
-        wait_for(lambda one=one: at(one, "status").startswith("SUCCESS"))
+    both = [start_successor(wait=False), start_successor(wait=False)]
+    for successor in both:
+        wait_for(lambda successor=successor: at(successor, "status").startswith("SUCCESS"))
     for leaving in (program, both[0]):
         leaving.process.terminate()
         assert leaving.process.wait(5) == 0
@@ -209,10 +214,10 @@
     assert at(both[1], "status").startswith("SUCCESS")
 
 
-def test_one_that_is_followed_without_its_socket_goes_on_taking_clients_from_it(upgraded, tmp_path):
-    """The one after it listens by itself: whom the machine puts in this one's queue nobody else can take."""
-    program, _, _ = upgraded(reply(), limits={"linger_s": 1.0})
-    with hello(tmp_path / "kept", program.made["name"], program.made["listen"]) as sock:
+def test_draining_predecessor_accepts_clients_if_its_socket_is_not_shared(upgradable, tmp_path):
+    """A successor with a listening socket of its own cannot accept connections from this queue."""
+    program, _, _ = upgradable(reply(), limits={"linger_s": 1.0})
+    with request_handover(tmp_path / "state", program.made["name"], program.made["listen"]) as sock:
         sock.sendall(b'{"ready":true}\n')
         wait_for(lambda: "(successor) is ready" in program.log())
         program.process.terminate()
@@ -221,39 +226,41 @@
         assert program.process.wait(5) == 0
 
 
-def hello(kept, node, listen):
+def request_handover(state_folder, node, listen):
     sock = socket.socket(socket.AF_UNIX)
-    sock.connect(str(kept / "succession.sock"))
+    sock.connect(str(state_folder / "succession.sock"))
     sock.sendall(json.dumps({"node": node, "listen": listen}).encode() + b"\n")
     return sock
 
 
-def test_only_this_nodes_own_are_handed_anything(upgraded, tmp_path):
-    program, _, _ = upgraded(reply())
-    kept, listen = tmp_path / "kept", program.made["listen"]
+def test_listening_socket_is_handed_only_to_process_of_same_node(upgradable, tmp_path):
+    program, _, _ = upgradable(reply())
+    state_folder, listen = tmp_path / "state", program.made["listen"]
     for node, at_address in (("n0", "127.0.0.1:1"), ("n1", listen), ("", "")):
-        with hello(kept, node, at_address) as sock:
+        with request_handover(state_folder, node, at_address) as sock:
             assert sock.recv(100) == b""
-    with hello(kept, "n0", listen) as sock:
-        data, handed, _, _ = socket.recv_fds(sock, 10_000, 2)
-        assert json.loads(data)["kept"]["listed"] == ["s-0"] and len(handed) == 1
-        os.close(handed[0])
-    for junk in (b"\n", b"{\n", b'{"ready":3}\n', b"x" * 2_000_000):
+    with request_handover(state_folder, "n0", listen) as sock:
+        data, descriptors, _, _ = socket.recv_fds(sock, 10_000, 2)
+        assert json.loads(data)["kept"]["listed"] == ["s-0"] and len(descriptors) == 1
+        os.close(descriptors[0])
+    for invalid in (b"\n", b"{\n", b'{"ready":3}\n', b"x" * 2_000_000):
         with socket.socket(socket.AF_UNIX) as sock, contextlib.suppress(OSError):
-            sock.connect(str(kept / "succession.sock"))
-            sock.sendall(junk)
+            sock.connect(str(state_folder / "succession.sock"))
+            sock.sendall(invalid)
             assert sock.recv(100) == b""
     assert program.ask(request()).status == "200"
 
 
-@pytest.mark.parametrize("behaviour", ["stale", "silent", "junk", "nothing handed", "not the clients'"])
-def test_whatever_stands_in_the_folder_hinders_no_start(start, tmp_path, behaviour):
-    kept = tmp_path / "kept"
-    kept.mkdir()
+@pytest.mark.parametrize(
+    "behaviour", ["stale socket", "no answer", "invalid answer", "no socket handed over", "foreign socket"]
+)
+def test_start_succeeds_whatever_listens_on_handover_socket(start, tmp_path, behaviour):
+    state_folder = tmp_path / "state"
+    state_folder.mkdir()
     other = socket.socket(socket.AF_UNIX)
-    other.bind(str(kept / "succession.sock"))
-    said = {"junk": b"\xff\n", "nothing handed": b'{"kept":{"banned":[]}}\n'}
-    if behaviour == "stale":
+    other.bind(str(state_folder / "succession.sock"))
+    answers = {"invalid answer": b"\xff\n", "no socket handed over": b'{"kept":{"banned":[]}}\n'}
+    if behaviour == "stale socket":
         other.close()
     else:
         other.listen()
@@ -262,85 +269,89 @@
             with contextlib.suppress(OSError):
                 sock, _ = other.accept()
                 sock.recv(1000)
-                if behaviour == "not the clients'":
+                if behaviour == "foreign socket":
                     foreign = socket.create_server(("127.0.0.1", 0))
                     socket.send_fds(sock, [b'{"kept":{"banned":["s-0"]}}\n'], [foreign.fileno()])
-                elif behaviour in said:
-                    sock.sendall(said[behaviour])
+                elif behaviour in answers:
+                    sock.sendall(answers[behaviour])
                 sock.recv(1000)
 
         threading.Thread(target=answer, daemon=True).start()
-    environment = {"TMPDIR": str(kept), "PROXY_ADMIN": own_address()}
+    environment = {"TMPDIR": str(state_folder), "PROXY_ADMIN": own_address()}
     program, _, _ = start(reply(), environment=environment, limits=QUICK)
     with contextlib.closing(other):
         wait_for(lambda: at(program, "status").startswith("SUCCESS"), 3)
-        banned = behaviour == "not the clients'"  # what it says of backends is believed
+        # The bans in an answer are applied even if the socket is refused.
+        banned = behaviour == "foreign socket"
         assert program.ask(request()).status == ("503" if banned else "200")
 
 
-def test_beside_a_process_that_stands_still_the_address_is_shared(upgraded):
-    program, _, follow = upgraded(reply())
+def test_successor_of_suspended_process_listens_on_same_address(upgradable):
+    program, _, start_successor = upgradable(reply())
     program.process.send_signal(signal.SIGSTOP)
-    after = follow()
-    assert "(predecessor) handed over no listening socket" in after.log()
+    successor = start_successor()
+    assert "(predecessor) handed over no listening socket" in successor.log()
     program.process.kill()
     program.process.wait()
-    assert after.ask(request()).status == "200"
+    assert successor.ask(request()).status == "200"
 
 
-@pytest.mark.parametrize("fresh_s", [0.01, 1.0])  # which is how long those that came are not called idle
-def test_both_together_keep_to_one_budget_of_descriptors(upgraded, fresh_s):
-    limits = QUICK | {"sockets": 160, "client_fresh_s": fresh_s, "client_first_s": 30}
-    program, _, follow = upgraded(reply(), files=160, limits=limits)
+# New connections do not count as idle, and so cannot be closed, for `client_fresh_s`.
+@pytest.mark.parametrize("client_fresh_s", [0.01, 1.0])
+def test_both_processes_together_stay_within_descriptor_budget(upgradable, client_fresh_s):
+    limits = QUICK | {"sockets": 160, "client_fresh_s": client_fresh_s, "client_first_s": 30}
+    program, _, start_successor = upgradable(reply(), files=160, limits=limits)
 
-    def held(one):
-        return len(os.listdir(f"/proc/{one.process.pid}/fd"))
+    def open_descriptors(program):
+        return len(os.listdir(f"/proc/{program.process.pid}/fd"))
 
     with contextlib.ExitStack() as stack:
         for _ in range(150):
             stack.enter_context(program.connect())
-        after = follow()
-        wait_for(lambda: held(program) < 100)  # also where nobody else comes
+        successor = start_successor()
+        wait_for(lambda: open_descriptors(program) < 100)  # Without further connections.
         for _ in range(150):
             stack.enter_context(program.connect())
         time.sleep(0.3)
-        wait_for(lambda: held(program) + held(after) <= 160, 2 + fresh_s)
-        of_two = held(after)
+        wait_for(lambda: open_descriptors(program) + open_descriptors(successor) <= 160, 2 + client_fresh_s)
+        during_handover = open_descriptors(successor)
         program.process.kill()
         program.process.wait()
-        wait_for(lambda: "(predecessor) has ended" in after.log())
+        wait_for(lambda: "(predecessor) has ended" in successor.log())
         for _ in range(150):
             stack.enter_context(program.connect())
-        wait_for(lambda: held(after) > of_two)
+        wait_for(lambda: open_descriptors(successor) > during_handover)
 
 
-def test_the_next_process_speaks_to_peers_once_the_address_is_free(upgraded):
+def test_successor_sends_gossip_once_peer_address_is_free(upgradable):
     own, other, before = own_address(), own_address(), own_address()
     datagrams = (socket.AF_INET, socket.SOCK_DGRAM)
-    with socket.socket(*datagrams) as peer, socket.socket(*datagrams) as in_the_way:
-        in_the_way.bind(address_of(own))
+    with socket.socket(*datagrams) as peer, socket.socket(*datagrams) as occupant:
+        occupant.bind(address_of(own))
         peer.bind(address_of(other))
         peer.settimeout(5)
         limits = {"connect_timeout": 200000, "keepalive": 10000000, "max_upstream_tries": 3, "peers": True}
         more = {"siblings": 2, "policy_limits": limits}
-        program, _, follow = upgraded(reply(), peer_listen=before, peers=[before, other], settings_more=more)
+        program, _, start_successor = upgradable(
+            reply(), peer_listen=before, peers=[before, other], settings_more=more
+        )
         program.ask(request())
         assert peer.recv(300)
-        after = follow(peer_listen=own, peers=[own, other])
+        successor = start_successor(peer_listen=own, peers=[own, other])
         program.process.terminate()
         assert program.process.wait(5) == 0
-        wait_for(lambda: "(predecessor) has ended" in after.log())
+        wait_for(lambda: "(predecessor) has ended" in successor.log())
         time.sleep(0.2)
-        in_the_way.close()
+        occupant.close()
 
-        def told():
-            after.ask(request())
+        def successor_sent_gossip():
+            successor.ask(request())
             with contextlib.suppress(TimeoutError):
                 return peer.recvfrom(300)[1] == address_of(own)
 
         peer.settimeout(0.2)
         with contextlib.suppress(TimeoutError):
-            while peer.recv(300):  # what the old one has said
+            while peer.recv(300):  # Discards the gossip of the predecessor.
                 pass
-        wait_for(told)
-        assert "no gossip with peers" not in after.log()
+        wait_for(successor_sent_gossip)
+        assert "no gossip with peers" not in successor.log()
