--- a/basalthoist/net/control/message_stream.py
+++ b/basalthoist/net/control/message_stream.py
@@ -45,7 +45,7 @@
         self.owner = owner
         self.decoder = FrameDecoder(key, max_frame_bytes)
         self.transport: asyncio.Transport | None = None
-        self.is_over = False
+        self.is_closed = False
         self.end_reason = ""
         self.bytes_in = 0
         self.bytes_out = 0
@@ -55,7 +55,7 @@
         self.transport = transport
         # Writing is never paused: the owner checks `unsent_bytes` and ends a peer that reads too slowly.
         transport.set_write_buffer_limits(high=UNBOUNDED_BYTES)
-        if self.is_over:
+        if self.is_closed:
             return transport.abort()
         self.owner.stream_opened(self)
 
@@ -68,7 +68,7 @@
             # Neither a peer of another fleet nor one that sends damaged frames gets an answer.
             return self.close(str(error), at_once=True)
         for message in messages:
-            if self.is_over:
+            if self.is_closed:
                 break
             self.owner.message_received(self, message)
 
@@ -78,13 +78,13 @@
 
     def end(self, reason: str) -> None:
         """Informs the owner that the connection was lost or could not be opened."""
-        if not self.is_over:
-            self.is_over = True
+        if not self.is_closed:
+            self.is_closed = True
             self.owner.stream_ended(self, reason)
 
     def send(self, message: Message | EncodedMessage) -> None:
         """Sends a message; does nothing if the connection has ended."""
-        if not self.is_over and self.transport is not None and not self.transport.is_closing():
+        if not self.is_closed and self.transport is not None and not self.transport.is_closing():
             data = encode(self.key, message)
             self.bytes_out += len(data)
             self.transport.write(data)
@@ -98,9 +98,9 @@
 
         The owner's `stream_ended` is called later from the event loop, never from within this method.
         """
-        if self.is_over:
+        if self.is_closed:
             return
-        self.is_over, self.end_reason = True, reason
+        self.is_closed, self.end_reason = True, reason
         if at_once and self.transport is not None:
             self.transport.abort()
         else:
@@ -183,7 +183,7 @@
         if stream is not None:
             self.bytes_in_before += stream.bytes_in
             self.bytes_out_before += stream.bytes_out
-            stream.is_over = True
+            stream.is_closed = True
             stream.close_transport()
         if self.has_acquired_descriptor:
             self.has_acquired_descriptor = False
