--- a/basalthoist/net/lifecycle/handover.py
+++ b/basalthoist/net/lifecycle/handover.py
@@ -85,7 +85,10 @@
     # As successor.
 
     async def request(self) -> HandoverResult:
-        """Requests the handover from the predecessor, if there is one, and waits for at most `timeout_s`."""
+        """Requests the handover from the predecessor, if there is one.
+
+        Waits for at most `timeout_s` to connect, and again for the answer.
+        """
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         sock.setblocking(False)
         try:
