--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -70,9 +70,9 @@
     return struct.unpack_from("Q", sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 136), 120)[0]
 
 
-def reply_after_30_ms(stand_in, sock, asked):
+def reply_after_30_ms(stand_in, sock, message):
     time.sleep(0.03)
-    reply()(stand_in, sock, asked)
+    reply()(stand_in, sock, message)
 
 
 @pytest.mark.parametrize("connects_s", [0.4, 1.2], ids=["within drain grace", "beyond drain grace"])
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -74,7 +74,7 @@
                 sock.sendall(request(ident=f"{number}-{count}"))
                 answer = read_message(sock.makefile("rb"))
             except (OSError, EOFError):
-                # The node may close a kept connection between two requests.
+                # The node may close an idle connection between two requests.
                 if is_new:
                     self.statuses.append("lost")
                 sock = None
