--- a/basalthoist/net/control/message_stream.py
+++ b/basalthoist/net/control/message_stream.py
@@ -147,7 +147,7 @@
         self.log = log
         self.descriptors = descriptors
         self.stream: MessageStream | None = None
-        self.attempt: asyncio.Task | None = None
+        self.connect_task: asyncio.Task | None = None
         self.has_acquired_descriptor = False
         # Traffic of earlier streams.
         self.bytes_in_before = 0
@@ -166,7 +166,7 @@
         if self.descriptors is not None and not self.has_acquired_descriptor:
             self.has_acquired_descriptor = True
             self.descriptors.acquire_over_limit()
-        self.attempt = self.loop.create_task(self.open(stream, host_port))
+        self.connect_task = self.loop.create_task(self.open(stream, host_port))
 
     async def open(self, stream: MessageStream, address: tuple[str, int]) -> None:
         """Opens the stream's connection. Has no timeout: the session calls `close` when it stops waiting."""
@@ -178,8 +178,8 @@
     def close(self) -> None:
         """Closes the connection, or cancels the attempt to open it."""
         stream, self.stream = self.stream, None
-        if self.attempt is not None and not self.attempt.done():
-            self.attempt.cancel()
+        if self.connect_task is not None and not self.connect_task.done():
+            self.connect_task.cancel()
         if stream is not None:
             self.bytes_in_before += stream.bytes_in
             self.bytes_out_before += stream.bytes_out
