--- a/basalthoist/net/control/fleet.py
+++ b/basalthoist/net/control/fleet.py
@@ -10,7 +10,7 @@
 
 from basalthoist.configuration import Configuration, FleetDocument
 from basalthoist.fleet.members import Members
-from basalthoist.fleet.outlier_reports import claimed_outliers
+from basalthoist.fleet.outlier_reports import outliers_to_report
 from basalthoist.fleet.quota_leases import Bucket, Limit, QuotaLeaseHolder
 from basalthoist.fleet.replica import Replica
 from basalthoist.fleet.verdicts import BAN, OUTLIER, QUOTA, TENANT_BAN, Verdict, VerdictKind, VerdictSet
@@ -183,7 +183,7 @@
 
     def detected_outliers(self) -> list[str]:
         """Returns the outliers that this node has detected itself."""
-        return claimed_outliers(self.dispatcher.balancer.backends.values(), now())
+        return outliers_to_report(self.dispatcher.balancer.backends.values(), now())
 
     def backend_count(self) -> int:
         """Returns how many backends this node knows."""
