--- a/basalthoist/net/clients/front_end.py
+++ b/basalthoist/net/clients/front_end.py
@@ -62,7 +62,7 @@
         }
         self.blocked_tenants: set[bytes] = set()
         self.tenant_number: Callable[[bytes | None], int | None] = self.configured_tenant_number
-        self.may_send: Callable[[], bool] = lambda: True
+        self.may_forward_requests: Callable[[], bool] = lambda: True
         self.connection_limits: ConnectionLimits = ConnectionLimits(self.limits, descriptors, log)
         # The same objects: one look-up less for each request.
         self.clients: dict[HttpClientConnection, None] = self.connection_limits.clients
@@ -107,7 +107,7 @@
         if len([v for k, v in message.headers if k == b"request-id" and v]) != 1:
             raise BadMessage(400, "not one Request-Id")
         tenant_number = self.tenant_of(message)
-        if not self.may_send():
+        if not self.may_forward_requests():
             return client.answer(503, [RETRY_AFTER])
         is_retry = message.get(b"client-retry") == b"1"
         links = self.dispatcher.links
@@ -209,7 +209,7 @@
         self.listener = Listener(
             self.loop, self.timers, self.log, sock, self.admit, self.connection_dropped, self.is_full
         )
-        self.listener.on_taken = self.check_drained
+        self.listener.on_connection_set_up = self.check_drained
         return self.listener
 
     def is_full(self) -> bool:
--- a/basalthoist/net/clients/http_connection.py
+++ b/basalthoist/net/clients/http_connection.py
@@ -339,7 +339,7 @@
         self.finished = True
         self.transport.close()
 
-    def end_now(self, last: bool) -> None:
+    def close_for_shutdown(self, last: bool) -> None:
         """The process ends: what is unanswered is answered now, and the connection ends with it.
 
         `last`: a client that has its response and does not close has had the time for it.
--- a/basalthoist/net/dispatcher.py
+++ b/basalthoist/net/dispatcher.py
@@ -59,7 +59,7 @@
         health_check += b"\r\n"
         self.health_check_chunks: RequestChunks = lambda: [health_check]
         self.send_gossip: Callable[[list[GossipMessage], list[int]], None] = lambda messages, peers: None
-        self.may_send: Callable[[], bool] = lambda: True
+        self.may_forward_requests: Callable[[], bool] = lambda: True
         self.guard: DecisionGuard = DecisionGuard(timers, log)
         began_at = now()
         self.balancer: Balancer = Balancer(self, configuration.seed, configuration.settings, began_at)
@@ -90,7 +90,7 @@
         # Guards against a second copy of a request that is open, or of which an attempt may still run.
         if request_id in self.by_request_id:
             raise BadMessage(409, "an open request has this Request-Id")
-        deadline = self.before_end(message.came_at + timeout_ms * 10 - self.client_transit)
+        deadline = self.cap_deadline(message.came_at + timeout_ms * 10 - self.client_transit)
         head = forwarded_head(message, upload)
         request = ProxiedRequest(self.next_number(), request_id, client, head, message.body, deadline)
         request.is_streaming = self.streaming_routes[route]
@@ -104,7 +104,7 @@
         self.begin(request, route, tenant, is_client_retry)
         return request
 
-    def before_end(self, deadline: int) -> int:
+    def cap_deadline(self, deadline: int) -> int:
         """Shortens a deadline to the end of the process."""
         return deadline if self.ends_at is None else min(deadline, self.ends_at)
 
@@ -176,7 +176,7 @@
 
     def on_body_complete(self, request: ProxiedRequest) -> None:
         """Sets the deadline anew, and reports it if the body is being sent."""
-        request.deadline = self.before_end(now() + request.upload.timeout)
+        request.deadline = self.cap_deadline(now() + request.upload.timeout)
         if request.open:
             request.timer.stop()
             left = max(request.deadline - now(), 1)
@@ -339,7 +339,7 @@
         call = None
         body_consumed = request.upload is not None and request.upload.consumed
         # Guards against a process that stood still and sends by what it knew before.
-        if not body_consumed and self.may_send():
+        if not body_consumed and self.may_forward_requests():
             call = self.upstream.call(
                 backend,
                 request_chunks,
--- a/basalthoist/net/framing.py
+++ b/basalthoist/net/framing.py
@@ -94,7 +94,7 @@
             now = self.pieces.pop()[1]
         self.pieces.append((self.received, now))
 
-    def of_last(self, unread: int) -> int:
+    def arrival_of_last_byte(self, unread: int) -> int:
         """When the last byte ahead of the `unread` ones came; earlier pieces are forgotten."""
         end = self.received - unread
         while len(self.pieces) > 1 and self.pieces[0][0] < end:
@@ -170,7 +170,7 @@
 
     def came_at(self) -> int:
         """When the last byte of what has been taken so far came."""
-        return self.arrivals.of_last(len(self.pending))
+        return self.arrivals.arrival_of_last_byte(len(self.pending))
 
     def idle(self) -> bool:
         """Whether nothing of a message has come."""
--- a/basalthoist/net/listener.py
+++ b/basalthoist/net/listener.py
@@ -49,7 +49,9 @@
         self.listening: bool = True
         self.paused: bool = False
         self.tasks: set[asyncio.Task] = set()  # connections that are being set up
-        self.on_taken: Callable[[], None] = lambda: None  # after each connection, also one that failed
+        self.on_connection_set_up: Callable[[], None] = (
+            lambda: None
+        )  # after each connection, also one that failed
         self.sock.setblocking(False)
         self.loop.add_reader(self.sock, self.accept)
 
@@ -87,7 +89,7 @@
     def on_task_done(self, task: asyncio.Task) -> None:
         """A connection is set up, or has failed."""
         self.tasks.discard(task)
-        self.on_taken()
+        self.on_connection_set_up()
 
     async def take_over(self, sock: socket.socket, protocol: asyncio.Protocol) -> None:
         """Hands the socket to the event loop."""
--- a/basalthoist/net/optional_parts.py
+++ b/basalthoist/net/optional_parts.py
@@ -108,7 +108,9 @@
         service.disk_worker,
         lambda: front_end.draining and not front_end.clients,
     )
-    service.dispatcher.may_send = front_end.may_send = service.fleet.may_forward
+    service.dispatcher.may_forward_requests = front_end.may_forward_requests = (
+        service.fleet.may_forward_requests
+    )
     if service.admin is not None:
         add_fleet_calls(service)
 
@@ -146,8 +148,10 @@
         service.disk_worker,
         service.descriptors,
     )
-    may_send = service.dispatcher.may_send
-    service.dispatcher.may_send = front_end.may_send = lambda: distribution.may_act() and may_send()
+    may_forward_requests = service.dispatcher.may_forward_requests
+    service.dispatcher.may_forward_requests = front_end.may_forward_requests = (
+        lambda: distribution.may_forward_requests() and may_forward_requests()
+    )
     if service.admin is not None:
         service.admin.calls["config-here"] = distribution.here
         service.admin.deferred_calls["config-status"] = distribution.status
--- a/basalthoist/net/service.py
+++ b/basalthoist/net/service.py
@@ -254,8 +254,8 @@
     def on_processes_changed(self) -> None:
         """Another process of this node has started, become ready or ended: all share the budgets."""
         processes = 1 + self.succession.other_processes()
-        self.descriptors.share_among(processes)
-        self.front_end.memory_budget.share_among(processes)
+        self.descriptors.set_process_count(processes)
+        self.front_end.memory_budget.set_process_count(processes)
         if self.succession.predecessor is None and self.gossip_postponed:
             self.gossip_postponed = False
             # The predecessor may hold the peers' address for a moment more.
