--- a/basalthoist/net/__init__.py
+++ b/basalthoist/net/__init__.py
@@ -1,1 +1,1 @@
-"""The node on sockets, by the stages of a request. Nothing here decides where a request goes."""
+"""Network I/O of a node, by the stages of a request. `basalthoist.decisions` decides where requests go."""
