--- a/basalthoist/net/decision_guard.py
+++ b/basalthoist/net/decision_guard.py
@@ -1,4 +1,4 @@
-"""Calls of the balancer's event handlers, guarded, and repeated to the shadow where there is one."""
+"""Calls the balancer's event handlers, contains their exceptions, and copies events to a shadow."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING
@@ -11,22 +11,22 @@
 
 
 class DecisionGuard:
-    """Calls the balancer's handlers; a handler that raises ends one request alone."""
+    """Calls the balancer's event handlers. An exception in one ends that request and no other."""
 
     def __init__(self, timers: Timers, log: Log) -> None:
         self.timers: Timers = timers
         self.log: Log = log
         self.shadow: Shadow | None = None
-        self.shadow_report_period: int = 0  # in tenths of a millisecond
+        self.shadow_report_period: int = 0  # tenths of a millisecond
 
     def start_shadow(self, shadow: "Shadow", report_period: int) -> None:
-        """Repeats each event to the shadow, and logs periodically what it has counted."""
+        """Copies each event to `shadow` from now on and logs its counts every `report_period` (0.1 ms)."""
         self.shadow = shadow
         self.shadow_report_period = report_period
         self.timers.after(report_period, self.report_shadow)
 
     def call(self, handler: Callable[..., None], *arguments: object) -> bool:
-        """Calls an event handler of the balancer; false where it failed."""
+        """Calls an event handler of the balancer. Returns False, with a line in the log, if it raised."""
         at = now()
         try:
             handler(at, *arguments)
@@ -34,15 +34,15 @@
                 self.call_shadow(handler.__name__, at, arguments)
             return True
         except Exception as error:
-            step = error.__traceback__
-            while step.tb_next is not None:
-                step = step.tb_next
-            module = step.tb_frame.f_globals.get("__name__", "")
-            self.log(f"{handler.__name__} failed: {error!r} at line {step.tb_lineno} of {module}")
+            innermost = error.__traceback__
+            while innermost.tb_next is not None:
+                innermost = innermost.tb_next
+            module = innermost.tb_frame.f_globals.get("__name__", "")
+            self.log(f"{handler.__name__} failed: {error!r} at line {innermost.tb_lineno} of {module}")
             return False
 
     def call_shadow(self, event: str, at: int, arguments: tuple) -> None:
-        """Guards against a shadow that fails: it is switched off, and no request is affected."""
+        """Passes an event to the shadow; if the shadow raises, switches it off and affects no request."""
         try:
             self.shadow.on_event(event, at, *arguments)
         except Exception as error:
@@ -51,7 +51,7 @@
             self.shadow = None
 
     def report_shadow(self) -> None:
-        """Logs the shadow's counts, and does so again after each period."""
+        """Logs the shadow's counts and schedules the next report."""
         if self.shadow is not None:
             self.log(self.shadow.line())
             self.timers.after(self.shadow_report_period, self.report_shadow)
--- a/basalthoist/net/dispatcher.py
+++ b/basalthoist/net/dispatcher.py
@@ -1,4 +1,4 @@
-"""Takes requests from clients and carries out what the balancer decides about them."""
+"""Connects front ends and backends to the balancer: reports events to it and executes its decisions."""
 
 import asyncio
 from collections.abc import Callable
@@ -21,15 +21,18 @@
 if TYPE_CHECKING:
     from basalthoist.gateway.links import Links
 
-NODE_HEADERS = frozenset((b"server-load", b"not-started"))  # of responses, for the node and not its clients
-ANSWER_OVERDUE = 20  # 2 ms after its deadline a request is answered, whatever has become of it
-MAX_REPORT_BYTES = 256  # of a health check's body
+# Response headers that backends send to the node; they are not forwarded to clients.
+NODE_HEADERS = frozenset((b"server-load", b"not-started"))
+OVERDUE_ANSWER_DELAY = (
+    20  # tenths of a millisecond after its deadline, when a request is answered in any case
+)
+MAX_REPORT_BYTES = 256  # at the start of a health check's body, in which a load report is looked for
 
 
 class RequestDispatcher:
-    """Implements `BalancerHost`. Times: tenths of a millisecond.
+    """Implements `BalancerHost`. Times are in tenths of a millisecond.
 
-    Events go to the balancer through `guard`, save rate limits and `may_start_attempt`.
+    Calls the balancer through `guard`, except for `on_rate_limit` and `may_start_attempt`.
     """
 
     def __init__(
@@ -54,19 +57,19 @@
         self.by_request_id: dict[bytes, ProxiedRequest] = {}
         self.last_number: int = 0
         self.links: Links | None = None  # to other sites
-        self.ends_at: int | None = None  # when the process has to have answered everything
+        self.ends_at: int | None = None  # set at shutdown: by then every request has to be answered
         health_check = head_of(b"GET %b HTTP/1.1" % self.health_check_path, [(b"Host", b"basalthoist")])
         health_check += b"\r\n"
         self.health_check_chunks: RequestChunks = lambda: [health_check]
         self.send_gossip: Callable[[list[GossipMessage], list[int]], None] = lambda messages, peers: None
         self.may_forward_requests: Callable[[], bool] = lambda: True
         self.guard: DecisionGuard = DecisionGuard(timers, log)
-        began_at = now()
-        self.balancer: Balancer = Balancer(self, configuration.seed, configuration.settings, began_at)
+        created_at = now()
+        self.balancer: Balancer = Balancer(self, configuration.seed, configuration.settings, created_at)
         if configuration.shadow_settings is not None:
             from basalthoist.shadow import Shadow
 
-            shadow = Shadow(self.balancer, configuration.seed, configuration.shadow_settings, began_at)
+            shadow = Shadow(self.balancer, configuration.seed, configuration.shadow_settings, created_at)
             self.guard.start_shadow(shadow, int(configuration.document.shadow.report_s * SECOND))
 
     # Called by front ends.
@@ -84,12 +87,12 @@
     ) -> ProxiedRequest:
         """Starts an HTTP request. Its timeout counts from when the client sent it.
 
-        Raises BadMessage where its Request-Id is in use.
+        Raises BadMessage if its Request-Id is that of a request in progress.
         """
         request_id = message.get(b"request-id") or b""
-        # Guards against a second copy of a request that is open, or of which an attempt may still run.
+        # Guards against running a request twice: the first copy, or an attempt of it, may still run.
         if request_id in self.by_request_id:
-            raise BadMessage(409, "an open request has this Request-Id")
+            raise BadMessage(409, "Request-Id of a request in progress")
         deadline = self.cap_deadline(message.came_at + timeout_ms * 10 - self.client_transit)
         head = forwarded_head(message, upload)
         request = ProxiedRequest(self.next_number(), request_id, client, head, message.body, deadline)
@@ -105,36 +108,40 @@
         return request
 
     def cap_deadline(self, deadline: int) -> int:
-        """Shortens a deadline to the end of the process."""
+        """Returns the deadline, or the end of the process if that is earlier."""
         return deadline if self.ends_at is None else min(deadline, self.ends_at)
 
     def next_number(self) -> int:
-        """The number of a new request."""
+        """Returns the number of a new request."""
         self.last_number += 1
         return self.last_number
 
     def begin(self, request: ProxiedRequest, route: int, tenant: int, is_client_retry: bool) -> None:
-        """Begins a request of any protocol: from here on it is answered."""
+        """Registers a request of any protocol and reports it to the balancer. It is answered in any case."""
         timeout = max(request.deadline - now(), 1)
         self.in_progress[request.id] = self.by_request_id[request.request_id] = request
-        # Guards against a request that the decisions lost by failing: it is answered all the same.
-        request.timer = self.timers.after(timeout + ANSWER_OVERDUE, partial(self.answer_overdue, request))
+        # Answers the request even if the balancer lost it through an exception.
+        request.timer = self.timers.after(
+            timeout + OVERDUE_ANSWER_DELAY, partial(self.answer_overdue, request)
+        )
         handler = self.balancer.on_request
         if not self.guard.call(handler, request.id, route, tenant, timeout, is_client_retry, request.spilled):
             self.end_failed(request)
 
     def client_disconnected(self, request: ProxiedRequest) -> None:
-        """Cancels a request whose client has closed its connection."""
+        """Cancels a request whose client has disconnected."""
         self.close(request)
         self.guard.call(self.balancer.on_client_gone, request.id)
         if request.stream is not None:
-            request.stream.abandon(Outcome.CANCELLED)  # the decisions cannot cancel a begun response
+            # The balancer does not cancel an attempt whose response has begun.
+            request.stream.abandon(Outcome.CANCELLED)
         if request.upload is not None and not request.upload.complete:
+            # The balancer does not cancel an attempt whose body is being forwarded, though it will never complete.
             for call in [call for call in request.calls if call is not None]:
-                call.abandon(Outcome.CANCELLED)  # nor an attempt whose body will never be complete
+                call.abandon(Outcome.CANCELLED)
 
     def end_failed(self, request: ProxiedRequest) -> None:
-        """Ends a request that failed in this program."""
+        """Cancels all attempts of a request and answers 500: this process failed to handle it."""
         for call in request.calls:
             if call is not None:
                 call.abandon(Outcome.CANCELLED)
@@ -144,7 +151,10 @@
             self.guard.call(self.balancer.on_client_gone, request.id)
 
     def end_unanswered(self, request: ProxiedRequest) -> None:
-        """Answers a request as the process ends, unless its response is being streamed."""
+        """Answers a request because the process ends: 503 if it never ran, else 504.
+
+        Does nothing if it is answered or its response is being streamed.
+        """
         if not request.open or request.stream is not None:
             return
         never_ran = not request.may_have_run and all(
@@ -155,37 +165,42 @@
         self.guard.call(self.balancer.on_client_gone, request.id)
 
     def site_load(self) -> bytes:
-        """The load report to another site: requests in progress for each usable backend."""
+        """Returns the load report for another site: requests in progress per usable backend."""
         return b"inflight=%.2f" % (len(self.in_progress) / max(self.links.usable(), 1))
 
-    # Bodies that are streamed.
+    # Streamed request bodies.
 
     def stream_body(self, request: ProxiedRequest, upload: Upload, timeout_ms: int) -> None:
-        """Has the timeout count from the body's last byte; until then the client may take its time."""
+        """Has the timeout count from the last byte of the body.
+
+        Until then the deadline allows for the minimum rate at which a client has to send.
+        """
         request.upload = upload
         timeout = timeout_ms * 10 - self.client_transit
-        bytes_to_come = (upload.length or self.limits.long_bytes) - len(upload.buffer)
-        request.deadline += int(bytes_to_come / self.limits.client_bytes_per_s * SECOND) + SECOND
+        remaining_bytes = (upload.length or self.limits.long_bytes) - len(upload.buffer)
+        request.deadline += int(remaining_bytes / self.limits.client_bytes_per_s * SECOND) + SECOND
         upload.timeout = max(timeout, 1)
         upload.on_forwarding_started = partial(self.on_forwarding_started, request)
         upload.on_complete = partial(self.on_body_complete, request)
 
     def on_forwarding_started(self, request: ProxiedRequest) -> None:
-        """Reports the body to the balancer, after the decision that sends it."""
+        """Reports the body to the balancer, after the decision that started the attempt has returned."""
         self.loop.call_soon(self.report_body, request)
 
     def on_body_complete(self, request: ProxiedRequest) -> None:
-        """Sets the deadline anew, and reports it if the body is being sent."""
+        """Sets the deadline from the body's last byte, and reports it if the body is being forwarded."""
         request.deadline = self.cap_deadline(now() + request.upload.timeout)
         if request.open:
             request.timer.stop()
             left = max(request.deadline - now(), 1)
-            request.timer = self.timers.after(left + ANSWER_OVERDUE, partial(self.answer_overdue, request))
+            request.timer = self.timers.after(
+                left + OVERDUE_ANSWER_DELAY, partial(self.answer_overdue, request)
+            )
         if request.upload.consumed:
             self.loop.call_soon(self.report_body, request)
 
     def report_body(self, request: ProxiedRequest) -> None:
-        """Tells the balancer how much time is left and whether the body is complete."""
+        """Reports to the balancer the time left and whether the body is complete."""
         if request.open:
             left = max(request.deadline - now(), 1)
             self.guard.call(self.balancer.on_body_forwarded, request.id, left, request.upload.complete)
@@ -193,16 +208,16 @@
     # The end of a request.
 
     def answer_overdue(self, request: ProxiedRequest) -> None:
-        """Answers a request that the decisions did not."""
-        # Guards against a late wake of the decisions, which counts from when it was asked for: what they
-        # would answer in the next moment goes first.
+        """Answers a request that the balancer has not answered by its deadline."""
+        # The balancer's own timer may be late, as its delay counts from when the timer was set. An answer of
+        # the balancer that is due takes precedence.
         self.guard.call(self.balancer.on_wake, "due")
         if request.open:
-            self.log(f"request {request.id} was left unanswered")
+            self.log(f"request {request.id} not answered by the balancer at its deadline, answering 500")
             self.end_failed(request)
 
     def close(self, request: ProxiedRequest) -> None:
-        """Marks a request as answered or cancelled; it stays known until its last attempt has ended."""
+        """Marks a request as answered or cancelled. It stays in `in_progress` until its last attempt ends."""
         request.open = False
         request.timer.stop()
         if request.attempts_in_progress:
@@ -211,14 +226,14 @@
             self.forget(request)
 
     def withdraw_all(self, request: ProxiedRequest) -> None:
-        """Withdraws attempts that are not written, whether or not backends support cancellation."""
+        """Withdraws attempts of which no byte is written, whether or not backends support cancellation."""
         for call in request.calls:
-            # Guards against a retry at another site, which learns only by the connection that nobody waits.
+            # Guards against a retry at another site: only a closed connection tells it that no client waits.
             if call is not None and not call.withdraw() and call.pool.name.startswith("site:"):
                 call.abandon(Outcome.CANCELLED)
 
     def forget(self, request: ProxiedRequest) -> None:
-        """Removes a request of which nothing is in progress."""
+        """Removes a closed request that has no attempt in progress."""
         if self.in_progress.pop(request.id, None) is not None:
             del self.by_request_id[request.request_id]
             if request.spilled:
@@ -227,9 +242,9 @@
     # Called by attempts and health checks.
 
     def is_wanted(self, request: ProxiedRequest, attempt_number: int) -> bool:
-        """Whether an attempt may still be written: its client waits, and its time has not passed."""
-        # Guards against sending for a client that has left: its end may lie unread, as after the node
-        # stood still, or while nothing is read from that client.
+        """Returns whether an attempt may still be written: its client waits, and its time has not passed."""
+        # Guards against sending for a client that has disconnected unnoticed: the node was suspended, or
+        # reading from this client is paused.
         if request.open and request.client.has_disconnected():
             self.loop.call_soon(request.client.abort)
             return False
@@ -244,14 +259,17 @@
         outcome: Outcome,
         response: Message | None,
     ) -> None:
-        """Answers the client if the attempt was successful, and reports the outcome to the balancer."""
+        """Answers the client if the attempt was successful, and reports the outcome to the balancer.
+
+        `started_at`: when the attempt was started.
+        """
         duration = now() - started_at
         request.attempts_in_progress -= 1
         request.may_have_run |= outcome not in NEVER_RAN
         report = parse_load_report(response.get(b"server-load")) if response is not None else None
         answered = not request.open or request.stream is not None or outcome == Outcome.COMPLETED
         if request.upload is not None and request.upload.complete:
-            # Without the time that the client took.
+            # Excludes the time in which the client was still sending the body.
             duration = min(duration, now() - (request.deadline - request.upload.timeout))
         if request.open and request.stream is not None:
             request.client.end_stream(complete=outcome == Outcome.COMPLETED)
@@ -268,7 +286,10 @@
     def on_response_start(
         self, request: ProxiedRequest, attempt_number: int, response: Message, length: int | None
     ) -> BodySink | None:
-        """Begins to stream a response to the client, unless another attempt was first."""
+        """Starts streaming a response to the client and returns the callback for its body.
+
+        Returns None if the request is answered, or another attempt's response is being streamed.
+        """
         if not request.open or request.stream is not None:
             return None
         request.timer.stop()
@@ -279,7 +300,7 @@
     def on_health_check_ended(
         self, backend: str, started_at: int, outcome: Outcome, response: Message | None
     ) -> None:
-        """Reports a health check's outcome and the load report in its headers or body."""
+        """Reports a health check's outcome and the load report from its headers or body to the balancer."""
         report = None
         if response is not None:
             report = parse_load_report(response.get(b"server-load"))
@@ -289,40 +310,40 @@
     # Events of discovery, operators and peers.
 
     def on_endpoint_list(self, endpoints: list[Endpoint], complete: bool) -> None:
-        """Passes on listed backends; a complete list also has the links to other sites."""
+        """Passes endpoints to the balancer; to a complete list, adds the links to other sites."""
         links = self.links.endpoints() if complete and self.links is not None else []
         self.guard.call(self.balancer.on_endpoint_list, endpoints + links, complete)
 
     def on_endpoint_list_failed(self) -> None:
-        """Discovery gave no list."""
+        """Reports to the balancer that discovery returned no endpoint list."""
         self.guard.call(self.balancer.on_endpoint_list_failed)
 
     def on_maintenance(self, name: str, banned: bool) -> None:
-        """A maintenance ban of a backend begins or ends."""
+        """Begins or ends a ban of a backend, and closes its idle connections."""
         self.guard.call(self.balancer.on_maintenance, name, banned)
         self.upstream.discard_connections(name)
 
     def on_quota(self, tenant: int, quota: float | None) -> None:
-        """Changes a tenant's quota, in requests a second over the fleet; None removes the tenant."""
+        """Changes a tenant's quota, in requests per second over the fleet; None removes the tenant."""
         self.guard.call(self.balancer.on_quota, tenant, quota)
 
     def on_route(self, route: int, objective: int, timeout: int, value: float) -> None:
-        """Changes a route's latency objective, timeout and priority weight."""
+        """Changes a route's latency objective and timeout (both in 0.1 ms) and its priority weight."""
         self.guard.call(self.balancer.on_route, route, objective, timeout, value)
 
     def on_rate_limit(self, tenant: int, limit: object) -> None:
         """Changes a tenant's rate limit."""
-        # Guards against a shadow that uses up what its node may admit: it sees no rate limits.
+        # Not through the guard: the shadow would use up the tokens of the limit that it shares with its node.
         self.balancer.on_rate_limit(now(), tenant, limit)
 
     def on_gossip(self, peer: int, messages: list[GossipMessage]) -> None:
-        """Passes on what a peer has sent."""
+        """Passes a peer's messages to the balancer."""
         self.guard.call(self.balancer.on_gossip, peer, messages)
 
-    # `BalancerHost`; a request that has ended meanwhile is no error.
+    # `BalancerHost`. A decision about a request that has ended meanwhile is ignored.
 
     def send(self, number: int, backend: str, timeout: int) -> None:
-        """Starts the next attempt of a request."""
+        """Starts the next attempt of a request, at this backend."""
         request = self.find_open(number)
         if request is None:
             return
@@ -333,12 +354,12 @@
         site_headers, backend_timeout = b"", timeout
         if self.links is not None:
             site_headers, backend_timeout = self.links.headers_for(backend, timeout)
-        # Guards against telling a backend of time that has passed while the attempt waited for a connection.
+        # Guards against a timeout sent to the backend that includes the time spent waiting for a connection.
         until = started_at + backend_timeout
         request_chunks = partial(request.request_chunks, attempt_number, until, site_headers)
         call = None
         body_consumed = request.upload is not None and request.upload.consumed
-        # Guards against a process that stood still and sends by what it knew before.
+        # Guards against a process that was suspended and would send by an outdated view.
         if not body_consumed and self.may_forward_requests():
             call = self.upstream.call(
                 backend,
@@ -355,23 +376,24 @@
         request.calls.append(call)
 
     def shed(self, number: int, retry_after: int) -> None:
-        """Answers 503, with the time after which to retry."""
+        """Answers 503, with a Retry-After header unless `retry_after` is 0."""
         if (request := self.find_open(number)) is not None:
             headers = [(b"retry-after", b"%.3f" % (retry_after / SECOND))] if retry_after > 0 else []
             if request.spilled and not request.may_have_run and not request.attempts_in_progress:
-                headers.append((b"not-started", b"1"))  # so that the other site may retry elsewhere
+                # The other site may retry elsewhere.
+                headers.append((b"not-started", b"1"))
             request.client.answer(503, headers)
             self.close(request)
 
     def fail(self, number: int) -> None:
-        """Answers 504 near the deadline or after it, 502 before."""
+        """Answers 504 from shortly before the deadline on, 502 earlier."""
         if (request := self.find_open(number)) is not None:
-            timed_out = now() >= request.deadline - 2 * ANSWER_OVERDUE
+            timed_out = now() >= request.deadline - 2 * OVERDUE_ANSWER_DELAY
             request.client.answer(504 if timed_out else 502)
             self.close(request)
 
     def cancel(self, number: int, attempt_number: int) -> None:
-        """Cancels an attempt."""
+        """Cancels an attempt, even if it has been written."""
         request = self.in_progress.get(number)
         if (
             request is not None
@@ -381,7 +403,7 @@
             request.calls[attempt_number].abandon(Outcome.CANCELLED)
 
     def withdraw(self, number: int, attempt_number: int) -> bool:
-        """Withdraws an attempt; whether none of it was written."""
+        """Withdraws an attempt of which no byte is written. Returns whether that was so."""
         request = self.in_progress.get(number)
         call = (
             request.calls[attempt_number]
@@ -391,12 +413,12 @@
         return call is not None and call.withdraw()
 
     def find_open(self, number: int) -> ProxiedRequest | None:
-        """A request that is not answered yet."""
+        """Returns a request that is not answered yet, or None."""
         request = self.in_progress.get(number)
         return request if request is not None and request.open else None
 
     def health_check(self, backend: str) -> None:
-        """Starts a health check."""
+        """Starts a health check of a backend, or reports it as not sent if health checks are disabled."""
         on_outcome = partial(self.on_health_check_ended, backend, now())
         call = self.upstream.call
         chunks, timeout = self.health_check_chunks, self.health_check_timeout
@@ -410,14 +432,14 @@
         self.send_gossip(messages, peers)
 
     def subscribe(self) -> None:
-        """Does nothing: discovery is followed for as long as the node lives."""
+        """Does nothing: the discovery client watches the endpoint list without being requested to."""
 
     def wake(self, after: int, tag: str) -> None:
-        """Sets a timer for `Balancer.on_wake`."""
+        """Sets a timer that calls `Balancer.on_wake`."""
         self.timers.after(after, partial(self.on_wake, tag))
 
     def on_wake(self, tag: str) -> None:
-        """Wakes the balancer."""
-        # Guards against a failing wake that takes those behind it along: what is due is looked at again.
+        """Calls `Balancer.on_wake`; if that fails, repeats it 1 ms later."""
+        # Guards against losing events that are due and were not reached because of the exception.
         if not self.guard.call(self.balancer.on_wake, tag) and tag != "tick":
             self.wake(10, tag)
