--- a/basalthoist/net/dispatcher.py
+++ b/basalthoist/net/dispatcher.py
@@ -136,7 +136,7 @@
             # The balancer does not cancel an attempt whose response has begun.
             request.stream.abandon(Outcome.CANCELLED)
         if request.upload is not None and not request.upload.complete:
-            # The balancer does not cancel an attempt whose body is being forwarded, though it will never complete.
+            # The balancer does not cancel an attempt because its request body will never be complete.
             for call in [call for call in request.calls if call is not None]:
                 call.abandon(Outcome.CANCELLED)
 
@@ -319,7 +319,7 @@
         self.guard.call(self.balancer.on_endpoint_list_failed)
 
     def on_maintenance(self, name: str, banned: bool) -> None:
-        """Begins or ends a ban of a backend, and closes its idle connections."""
+        """Begins or ends a ban of a backend; discards its idle connections and waiting calls."""
         self.guard.call(self.balancer.on_maintenance, name, banned)
         self.upstream.discard_connections(name)
 
--- a/basalthoist/net/listener.py
+++ b/basalthoist/net/listener.py
@@ -1,4 +1,4 @@
-"""A listening socket from which a front end or the admin interface accepts its connections."""
+"""Listening sockets: a `Listener` accepts connections for a front end or the admin interface."""
 
 import asyncio
 import socket
@@ -11,22 +11,26 @@
 from basalthoist.net.runtime.timers import SECOND, Timers
 
 MAX_ACCEPTS_PER_TURN = 64  # connections accepted in one turn of the event loop
-SO_ATTACH_FILTER = 26  # of Linux, asm-generic/socket.h
+SO_ATTACH_FILTER = 26  # Linux, asm-generic/socket.h
 DROP_ALL = struct.pack("HBBI", 0x06, 0, 0, 0)  # classic BPF: return 0, so that every packet is dropped
-RETRY_DELAY = SECOND // 100  # before accept is tried again where it failed, in tenths of a millisecond
+ACCEPT_RETRY_DELAY = SECOND // 100  # tenths of a millisecond from a failed accept to the next
 
 
 def listening_socket(address: tuple[str, int], backlog: int, shared: bool = False) -> socket.socket:
-    """Listens at the address; `shared`: by SO_REUSEPORT. Raises OSError, as where it is in use."""
+    """Returns a socket that listens at the address, with SO_REUSEPORT if `shared`.
+
+    Raises OSError, for example where the address is in use.
+    """
     family = family_of(address)
     return socket.create_server(address, family=family, backlog=backlog, reuse_port=shared)
 
 
 class Listener:
-    """Accepts connections itself, so that where accept fails they wait in the backlog and no core is spent.
+    """Accepts connections itself instead of through the loop's server.
 
-    `make_protocol` is called for each connection; `on_dropped` after the protocol of one was made that could
-    not be set up. While `is_full` returns true, nothing is accepted.
+    Where accept fails, connections thus wait in the backlog and no CPU time is spent on retries in a row.
+    `make_protocol` is called for each connection; `on_dropped` is called after `make_protocol` if the
+    connection could not be set up. While `is_full` returns True, nothing is accepted.
     """
 
     def __init__(
@@ -48,15 +52,14 @@
         self.is_full: Callable[[], bool] = is_full
         self.listening: bool = True
         self.paused: bool = False
-        self.tasks: set[asyncio.Task] = set()  # connections that are being set up
-        self.on_connection_set_up: Callable[[], None] = (
-            lambda: None
-        )  # after each connection, also one that failed
+        self.tasks: set[asyncio.Task] = set()  # one for each connection that is being set up
+        # Called after each connection is set up or has failed.
+        self.on_connection_set_up: Callable[[], None] = lambda: None
         self.sock.setblocking(False)
         self.loop.add_reader(self.sock, self.accept)
 
     def accept(self) -> bool:
-        """Accepts what waits, up to a limit; true where nothing waits any more."""
+        """Accepts waiting connections, up to a limit. Returns True if none is waiting any more."""
         accepted = 0
         for _ in range(MAX_ACCEPTS_PER_TURN):
             if self.is_full():
@@ -66,10 +69,10 @@
             except BlockingIOError:
                 return True
             except (InterruptedError, ConnectionAbortedError):
-                continue  # this one has gone; others may wait behind it
+                continue  # this client has disconnected; others may wait behind it
             except OSError as error:
-                # Guards against all that accept may raise for a moment, such as EMFILE, ENFILE, ENOBUFS and
-                # the network errors of a connection that has gone: who waits is accepted later.
+                # accept raises many transient errors, such as EMFILE, ENFILE, ENOBUFS and the network errors
+                # of a broken connection. The connections that wait are accepted later.
                 self.log(f"no connection taken: {error}")
                 break
             self.begin(sock)
@@ -81,18 +84,18 @@
     def begin(self, sock: socket.socket) -> None:
         """Sets up an accepted connection."""
         sock.setblocking(False)
-        # A task for a connection, not for a request: the loop has no other form of this.
+        # One task per connection, not per request: the event loop offers this only as a coroutine.
         task = self.loop.create_task(self.take_over(sock, self.make_protocol()))
         self.tasks.add(task)
         task.add_done_callback(self.on_task_done)
 
     def on_task_done(self, task: asyncio.Task) -> None:
-        """A connection is set up, or has failed."""
+        """Records that a connection is set up, or could not be."""
         self.tasks.discard(task)
         self.on_connection_set_up()
 
     async def take_over(self, sock: socket.socket, protocol: asyncio.Protocol) -> None:
-        """Hands the socket to the event loop."""
+        """Connects the accepted socket with its protocol in the event loop."""
         try:
             await self.loop.connect_accepted_socket(lambda: protocol, sock)
         except OSError as error:
@@ -101,55 +104,58 @@
             sock.close()
 
     def retry_later(self) -> None:
-        """Guards against a loop that is woken again and again for what cannot be accepted."""
+        """Stops accepting for ACCEPT_RETRY_DELAY.
+
+        Guards against an event loop that is woken without pause by connections that cannot be accepted.
+        """
         if self.listening:
             self.loop.remove_reader(self.sock)
-            self.timers.after(RETRY_DELAY, self.watch)
+            self.timers.after(ACCEPT_RETRY_DELAY, self.watch)
 
     def watch(self) -> None:
-        """Has the event loop call `accept` again."""
+        """Has the event loop call `accept` when a connection waits."""
         if self.listening and not self.paused:
             self.loop.add_reader(self.sock, self.accept)
 
     def pause(self) -> None:
-        """Leaves new connections to another process."""
+        """Stops accepting and leaves new connections to another process."""
         self.paused = True
         if self.listening:
             self.loop.remove_reader(self.sock)
 
     def resume(self) -> None:
-        """Accepts again, as that process has ended."""
+        """Accepts again after `pause`, as the other process has ended."""
         if self.paused:
             self.paused = False
             self.watch()
 
     def close(self) -> None:
-        """Closes the socket at once; what waits in its backlog is reset."""
+        """Closes the socket at once; connections in its backlog are reset."""
         if self.listening:
             self.listening = False
             self.loop.remove_reader(self.sock)
             self.sock.close()
 
     def close_when_empty(self, on_closed: Callable[[], None], shared: bool = False) -> None:
-        """Accepts what waits, closes, and calls `on_closed`.
+        """Accepts all waiting connections, closes the socket, and calls `on_closed`.
 
-        `shared`: another process accepts from the same socket, and what waits is left to it.
+        `shared`: another process accepts from the same socket; connections that come last are left to it.
         """
         if self.listening and not self.paused:
             if not self.accept():
-                self.timers.after(RETRY_DELAY, lambda: self.close_when_empty(on_closed, shared))
+                self.timers.after(ACCEPT_RETRY_DELAY, lambda: self.close_when_empty(on_closed, shared))
                 return
             if not shared:
                 self.drop_new_connections()
-                self.accept()  # what has come since the last look
+                self.accept()  # connections that came after the accept above
         self.close()
         on_closed()
 
     def drop_new_connections(self) -> None:
-        """Guards against a connection that comes between the last accept and the close, to be reset.
+        """Drops all packets to the listening socket; accepted connections have sockets of their own.
 
-        Packets to the listening socket are dropped; accepted connections have sockets of their own. A client
-        that connects now is refused once the socket is closed, as its machine tries again.
+        Guards against a connection that comes between the last accept and the close, and would be reset. A
+        client that connects now is refused instead, when its kernel repeats the SYN after the close.
         """
         from array import array
 
--- a/basalthoist/net/optional_parts.py
+++ b/basalthoist/net/optional_parts.py
@@ -1,4 +1,4 @@
-"""The parts of a node that are built, and their modules loaded, only where its files name them."""
+"""Optional parts of a node. Each is built, and its modules are imported, only if it is configured."""
 
 from collections.abc import Callable
 from functools import partial
@@ -19,7 +19,7 @@
 
 
 def add_admin_interface(service: "Service") -> None:
-    """The admin interface, backends' maintenance, and the handover to the node's next process."""
+    """Adds the admin interface, the maintenance of backends, and the handover to a successor process."""
     from basalthoist.net.control.admin import Admin
     from basalthoist.net.control.maintenance import Maintenance
     from basalthoist.net.control.operator_calls import OperatorCalls
@@ -43,7 +43,7 @@
     }
     service.admin = Admin(calls, calls_on_id, service.timers, service.log, service.limits.admin_line_s)
     if configuration.folder:
-        service.succession = Handover(
+        service.handover = Handover(
             configuration.folder,
             configuration.name,
             configuration.listen,
@@ -52,11 +52,11 @@
             service.log,
             service.limits.succession_s,
         )
-        service.succession.on_change = service.on_processes_changed
+        service.handover.on_change = service.on_processes_changed
 
 
 def add_gateway(service: "Service", document: "GatewayDocument") -> None:
-    """Links to other sites."""
+    """Adds links to other sites."""
     from basalthoist.gateway.links import Links
     from basalthoist.gateway.sites import Bounds, Sites
 
@@ -77,7 +77,7 @@
 
 
 def add_jsonrpc(service: "Service", document: "JsonRpcDocument") -> None:
-    """The JSON-RPC front end."""
+    """Adds the JSON-RPC front end."""
     from basalthoist.jsonrpc.front_end import JsonRpcFrontEnd
 
     service.jsonrpc_front_end = JsonRpcFrontEnd(
@@ -92,7 +92,7 @@
 
 
 def add_fleet(service: "Service", document: "FleetDocument") -> None:
-    """The node's replica of its fleet's register of verdicts."""
+    """Adds the node's replica of the fleet's register of verdicts."""
     from basalthoist.net.control.fleet import Fleet
 
     front_end = service.front_end
@@ -116,7 +116,7 @@
 
 
 def add_fleet_calls(service: "Service") -> None:
-    """The fleet's calls at the admin interface."""
+    """Adds the operators' calls about the fleet to the admin interface."""
     admin = service.admin
     propose_verdict = service.operator_calls.propose_verdict
     admin.deferred_calls["fleet-status"] = service.fleet.status
@@ -130,7 +130,7 @@
 
 
 def add_distribution(service: "Service", document: "DistributionDocument") -> None:
-    """The distributed configuration, in versions."""
+    """Adds the subscriber of the distributed configuration."""
     from basalthoist.net.control.distribution import Distribution
 
     front_end = service.front_end
@@ -148,9 +148,9 @@
         service.disk_worker,
         service.descriptors,
     )
-    may_forward_requests = service.dispatcher.may_forward_requests
+    fleet_allows = service.dispatcher.may_forward_requests
     service.dispatcher.may_forward_requests = front_end.may_forward_requests = (
-        lambda: distribution.may_forward_requests() and may_forward_requests()
+        lambda: distribution.may_forward_requests() and fleet_allows()
     )
     if service.admin is not None:
         service.admin.calls["config-here"] = distribution.here
@@ -160,7 +160,7 @@
 
 
 def drain_while_stale(service: "Service", reason: DrainReason) -> Callable[[bool], None]:
-    """A callback that drains the front end while a view is stale."""
+    """Returns a callback that starts and stops draining the front end as a view becomes stale or current."""
     front_end = service.front_end
 
     def on_stale(stale: bool) -> None:
@@ -172,8 +172,11 @@
     return on_stale
 
 
-async def add_gossip(service: "Service", patiently: bool = False) -> None:
-    """Gossip, where settings and file allow it. `patiently`: waits until the own address is free."""
+async def add_gossip(service: "Service", retry_bind: bool = False) -> None:
+    """Adds gossip with peers, if it is enabled and configured.
+
+    `retry_bind`: retries while the node's gossip address is in use.
+    """
     configuration = service.configuration
     address = configuration.peer_listen
     if not configuration.network_settings.policy_limits.peers or address is None or not configuration.peers:
@@ -184,11 +187,11 @@
         configuration.peers, address, service.dispatcher.on_gossip, service.timers, service.log
     )
     try:
-        if patiently:
-            await service.bind_patiently(lambda: service.open_datagrams(gossip, address))
+        if retry_bind:
+            await service.bind_with_retries(lambda: service.open_datagrams(gossip, address))
         else:
             await service.open_datagrams(gossip, address)
         service.dispatcher.send_gossip = gossip.send
-    except OSError as wrong:
-        # Guards against a node that does not serve because it cannot gossip.
-        service.log(f"no gossip with peers: {wrong}")
+    except OSError as error:
+        # A node that cannot gossip serves clients all the same.
+        service.log(f"no gossip with peers: {error}")
--- a/basalthoist/net/proxied_request.py
+++ b/basalthoist/net/proxied_request.py
@@ -1,4 +1,4 @@
-"""A request in progress: its client, what is forwarded of it, and its attempts."""
+"""A request in progress: its client, its forwarded head and body, and its attempts."""
 
 from typing import Protocol
 
@@ -8,21 +8,23 @@
 from basalthoist.net.upstream.call import BodySink, Call
 
 REWRITTEN_HEADERS = frozenset((b"request-timeout-ms", b"host", b"site-hops", b"site-from"))
-MAX_TIMEOUT_MARGIN = SECOND // 50  # kept back of the timeout that a backend is sent, in 0.1 ms
-TIMEOUT_MARGIN_DIVISOR = 5  # the margin is at most this part of the time left
+# A backend is sent the time left less a margin: at most MAX_TIMEOUT_MARGIN, in tenths of a millisecond, and
+# at most the time left divided by TIMEOUT_MARGIN_DIVISOR.
+MAX_TIMEOUT_MARGIN = SECOND // 50
+TIMEOUT_MARGIN_DIVISOR = 5
 
 
 class RequestClient(Protocol):
-    """Who waits for the response, by whichever protocol."""
+    """The receiver of a response, over any protocol."""
 
     request: "ProxiedRequest | None"
 
     def has_disconnected(self) -> bool:
-        """Whether the client has closed, though its end may not have been read yet."""
+        """Returns whether the client has closed its connection, even if the end of file is still unread."""
         ...
 
     def abort(self) -> None:
-        """Closes the connection of a client that has left."""
+        """Aborts the connection of a client that has disconnected, and cancels its request."""
         ...
 
     def answer(self, status: int, headers: list[tuple[bytes, bytes]] = ..., body: bytes = ...) -> None:
@@ -30,16 +32,16 @@
         ...
 
     def start_stream(self, headers: list[tuple[bytes, bytes]], length: int | None) -> BodySink:
-        """Writes the head of a streamed response; returns what takes its body."""
+        """Writes the head of a streamed response. Returns the callback for the parts of its body."""
         ...
 
     def end_stream(self, complete: bool) -> None:
-        """Ends a streamed response."""
+        """Ends a streamed response; aborts the connection unless it is `complete`."""
         ...
 
 
 def forwarded_head(message: Message, upload: Upload | None) -> bytes:
-    """The head of a request as each attempt sends it, without its timeout and its last line."""
+    """Returns the head that all attempts of a request share: without its timeout and the final blank line."""
     headers = [(b"Host", message.get(b"host") or b""), *message.end_to_end(REWRITTEN_HEADERS)]
     if upload is not None and upload.length is None:
         headers.append((b"Transfer-Encoding", b"chunked"))
@@ -51,7 +53,7 @@
 
 
 class ProxiedRequest:
-    """A request that a client waits for. Times: tenths of a millisecond."""
+    """A request that a client waits for. Times are in tenths of a millisecond."""
 
     __slots__ = (
         "id",
@@ -82,28 +84,32 @@
         deadline: int,
     ) -> None:
         self.id: int = number
-        self.request_id: bytes = request_id  # its Request-Id
+        self.request_id: bytes = request_id  # the value of its Request-Id header
         self.client: RequestClient = client
         self.head: bytes = head
         self.body: bytes | memoryview | bytearray = body
         self.deadline: int = deadline
-        self.calls: list[Call | None] = []  # by attempt number; None: never sent
+        self.calls: list[Call | None] = []  # by attempt number; None: the attempt was not started
         self.attempts_in_progress: int = 0
         self.open: bool = True  # not answered yet
         self.timer: Timer | None = None
         self.is_streaming: bool = False  # the responses of its route are streamed
         self.stream: Call | None = None  # the attempt whose response is streamed to the client
-        self.spilled: bool = False  # it comes from another site
-        self.may_have_run: bool = False  # by one of its attempts
+        self.spilled: bool = False  # received from another site
+        self.may_have_run: bool = False  # after an attempt with an outcome that is not in NEVER_RAN
         self.came_at: int = now()
-        self.upload: Upload | None = None  # its body, where that is too long to buffer
+        self.upload: Upload | None = None  # the body, if it is too long to buffer
 
     def request_chunks(self, attempt_number: int, until: int, extra_headers: bytes = b"") -> list[bytes]:
-        """The request as an attempt writes it now, with the time left for its response."""
+        """Returns the buffers of the request as an attempt writes them now.
+
+        `until`: by when the backend has to respond; the time left until then is sent in Request-Timeout-Ms.
+        """
         left = until - now()
-        # Guards against a node that is held up before it writes, for as long as the margin allows.
+        # Guards against a delay between this moment and the write, up to the margin.
         left -= min(MAX_TIMEOUT_MARGIN, left // TIMEOUT_MARGIN_DIVISOR)
         if self.upload is not None:
-            left = min(left, self.upload.timeout)  # which counts from its last byte there too
+            # The backend, too, counts the timeout from the last byte of the body.
+            left = min(left, self.upload.timeout)
         head = self.head + extra_headers + b"Request-Timeout-Ms: %d\r\n\r\n" % max(left // 10, 1)
         return [head, self.body] if len(self.body) else [head]
--- a/basalthoist/net/service.py
+++ b/basalthoist/net/service.py
@@ -1,4 +1,4 @@
-"""One node: builds its parts, serves until it has drained, and closes them in order."""
+"""One node: builds its parts, serves until it is drained, and closes the parts in order."""
 
 import asyncio
 import errno
@@ -36,18 +36,19 @@
     from basalthoist.net.control.operator_calls import OperatorCalls
     from basalthoist.net.lifecycle.handover import Handover
 
-WRITES_SETTLE_S = 0.1  # at the end, for files that are being written
-BIND_RETRY_S = 0.05
+FILE_WRITES_TIMEOUT_S = 0.1  # how long the end of the process waits for files that are being written
+BIND_RETRY_DELAY_S = 0.05
 
-# Of a process on Linux: loop, log, listeners, handover and discovery, a call to discovery that ends as the
-# next begins, a link to another process and a file that is written.
+# File descriptors that a process uses on Linux besides those for clients and backends: event loop, log,
+# listeners, handover, discovery, a second discovery connection while one ends as the next begins, a link to
+# another process, and a file that is being written.
 OWN_DESCRIPTORS = 20
 
-Bound = TypeVar("Bound")
+BindResult = TypeVar("BindResult")
 
 
 class Service:
-    """The parts of one node. Those that are None are not configured."""
+    """The parts of one node. A part that is None is not configured."""
 
     def __init__(
         self,
@@ -89,16 +90,17 @@
             configuration, DiskWorker(loop), self.log, self.apply_configuration
         )
         self.bans: Bans = Bans(self.dispatcher.on_maintenance)
-        self.blocked_tenants: dict[VerdictSource, set[str]] = {}
+        self.blocked_tenants: dict[VerdictSource, set[str]] = {}  # names
         self.admin: Admin | None = None
         self.operator_calls: OperatorCalls | None = None
         self.maintenance: Maintenance | None = None
-        self.succession: Handover | None = None
+        self.handover: Handover | None = None
         self.jsonrpc_front_end: JsonRpcFrontEnd | None = None
         self.fleet: Fleet | None = None
         self.distribution: Distribution | None = None
-        self.gossip_postponed: bool = False  # until the process before this one frees the peers' address
-        self.background_tasks: set[asyncio.Task] = set()  # kept, or they could be collected
+        self.gossip_postponed: bool = False  # until the predecessor process releases the gossip address
+        # References that keep the tasks from being garbage-collected.
+        self.background_tasks: set[asyncio.Task] = set()
         self.first_ready: asyncio.Future = loop.create_future()
         loop.set_exception_handler(self.log_loop_exception)
         self.add_optional_parts(gateway, jsonrpc, fleet, distribution)
@@ -123,26 +125,26 @@
             optional_parts.add_distribution(self, distribution)
 
     def log_loop_exception(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """The loop's handler for exceptions that nobody caught."""
+        """Logs an uncaught exception; called by the event loop."""
         self.log(f"event loop: {context.get('message')}: {context.get('exception')!r}")
 
     # From start to end.
 
     async def serve(self) -> None:
-        """Serves until the node has drained; raises OSError where an address cannot be bound."""
+        """Serves until the node is drained. Raises OSError if an address cannot be bound."""
         listener = await self.start()
         if listener is not None:
             await self.run(listener)
         await self.close()
 
     async def start(self) -> Listener | None:
-        """Starts discovery, then listens for clients; None: it was shut down before."""
+        """Starts discovery, then listens for clients. Returns None if the node was shut down before that."""
         if self.admin is not None:
-            await self.bind_patiently(lambda: self.admin.listen(self.loop, self.configuration.admin))
-        has_predecessor, listening = False, None
-        if self.succession is not None:
-            has_predecessor, listening = await self.succession.request()
-            self.gossip_postponed = has_predecessor and self.succession.predecessor is not None
+            await self.bind_with_retries(lambda: self.admin.listen(self.loop, self.configuration.admin))
+        has_predecessor, inherited = False, None
+        if self.handover is not None:
+            has_predecessor, inherited = await self.handover.request()
+            self.gossip_postponed = has_predecessor and self.handover.predecessor is not None
         self.discovery.on_confirmed = self.become_ready
         self.discovery.start(self.configuration.known)
         self.timers.after(int(self.limits.first_list_s * SECOND), self.become_ready)
@@ -151,29 +153,30 @@
         if self.fleet is not None:
             self.start_task(self.join_fleet())
         if has_predecessor:
-            await self.first_ready  # until then the process before this one accepts the clients
-        return await self.bind_patiently(lambda: self.listen(listening))
+            # Until then the predecessor accepts the clients' connections.
+            await self.first_ready
+        return await self.bind_with_retries(lambda: self.listen(inherited))
 
     async def run(self, listener: Listener) -> None:
-        """Serves clients until every front end has drained."""
+        """Serves clients until every front end is drained."""
         host, port = self.configuration.listen
         self.log(f"listening on {host}:{port}")
-        if self.succession is not None:
-            self.succession.listening = listener.sock
-            self.succession.announce_ready()
+        if self.handover is not None:
+            self.handover.listening = listener.sock
+            self.handover.announce_ready()
         jsonrpc = self.jsonrpc_front_end
         if jsonrpc is not None:
-            await self.bind_patiently(lambda: jsonrpc.listen(jsonrpc.document.address()))
+            await self.bind_with_retries(lambda: jsonrpc.listen(jsonrpc.document.address()))
         await self.front_end.drained
         if jsonrpc is not None:
             await jsonrpc.drained
         listener.close()
 
     async def close(self) -> None:
-        """Closes what is still open."""
-        await self.disk_worker.settle(WRITES_SETTLE_S)
+        """Waits for files that are being written, then closes the connections to backends and the parts."""
+        await self.disk_worker.settle(FILE_WRITES_TIMEOUT_S)
         self.upstream.close_all()
-        for part in (self.admin, self.succession, self.fleet, self.distribution):
+        for part in (self.admin, self.handover, self.fleet, self.distribution):
             if part is not None:
                 part.close()
         if self.dispatcher.guard.shadow is not None:
@@ -181,18 +184,18 @@
         self.log("all answered")
 
     def shut_down(self) -> None:
-        """Begins the graceful shutdown, at SIGTERM; called again it does nothing."""
+        """Begins the graceful shutdown, at SIGTERM. Further calls do nothing."""
         if self.front_end.shutting_down:
             return
         self.log(f"draining started, {len(self.dispatcher.in_progress)} requests in progress")
         self.front_end.begin_shutdown()
-        if self.succession is not None:
+        if self.handover is not None:
             self.on_processes_changed()
         if self.jsonrpc_front_end is not None:
             self.jsonrpc_front_end.begin_shutdown()
 
     def become_ready(self) -> None:
-        """Discovery has answered, or has had the time for it."""
+        """Marks the node as ready: discovery has returned a list, or `first_list_s` is over."""
         if not self.front_end.ready:
             self.front_end.memory_budget.measure_baseline()
         self.front_end.ready = True
@@ -201,31 +204,34 @@
 
     # Sockets.
 
-    async def listen(self, inherited: socket.socket | None) -> Listener:
-        """Listens for clients; `inherited`: the socket that the process before this one has handed over."""
-        is_inherited = inherited is not None
-        if self.succession is not None:
-            self.front_end.listener_shared = lambda: is_inherited or self.succession.other_processes() > 0
-        if inherited is None:
-            shared = self.succession is not None
-            inherited = listening_socket(self.configuration.listen, self.limits.backlog, shared)
-        return self.front_end.listen(inherited)
+    async def listen(self, sock: socket.socket | None) -> Listener:
+        """Listens for clients. `sock`: the listening socket that the predecessor has handed over, if any."""
+        is_inherited = sock is not None
+        if self.handover is not None:
+            self.front_end.listener_shared = lambda: is_inherited or self.handover.other_processes() > 0
+        if sock is None:
+            shared = self.handover is not None
+            sock = listening_socket(self.configuration.listen, self.limits.backlog, shared)
+        return self.front_end.listen(sock)
 
-    async def bind_patiently(self, bind: Callable[[], Awaitable[Bound]]) -> Bound | None:
-        """What `bind` returns, tried again while its address is in use; None: the node drained before."""
-        give_up_at = now() + int(self.limits.bind_s * SECOND)
+    async def bind_with_retries(self, bind: Callable[[], Awaitable[BindResult]]) -> BindResult | None:
+        """Awaits `bind`, again while its address is in use, for up to `bind_s`; returns its result.
+
+        Returns None if the node was drained before. Raises OSError.
+        """
+        deadline = now() + int(self.limits.bind_s * SECOND)
         while not self.front_end.drained.done():
             try:
                 return await bind()
-            except OSError as wrong:
-                # Guards against a process before this one that has not yet freed the address.
-                if wrong.errno != errno.EADDRINUSE or now() > give_up_at:
+            except OSError as error:
+                # The predecessor process may not have released the address yet.
+                if error.errno != errno.EADDRINUSE or now() > deadline:
                     raise
-            await asyncio.sleep(BIND_RETRY_S)
+            await asyncio.sleep(BIND_RETRY_DELAY_S)
 
     async def open_datagrams(self, protocol: asyncio.DatagramProtocol, address: tuple[str, int]) -> None:
-        """Opens a datagram socket at the address; raises OSError."""
-        # Not by `local_addr`: the loop's own error for an address in use does not have that errno.
+        """Opens a datagram socket at the address. Raises OSError."""
+        # Not by `local_addr`: the error that the loop raises for an address in use has another errno.
         sock = socket.socket(family_of(address), socket.SOCK_DGRAM)
         try:
             sock.setblocking(False)
@@ -236,39 +242,42 @@
             raise
 
     async def join_fleet(self) -> None:
-        """Opens the fleet's socket. Without it the node serves by what it knows, or drains as stale."""
+        """Opens the fleet's socket. Without it the node serves by its last view, or drains once it is stale."""
         address = self.fleet.addresses[self.configuration.name]
         try:
-            await self.bind_patiently(lambda: self.open_datagrams(self.fleet, address))
-        except OSError as wrong:
-            self.log(f"fleet: not joined: {wrong}")
+            await self.bind_with_retries(lambda: self.open_datagrams(self.fleet, address))
+        except OSError as error:
+            self.log(f"fleet: not joined: {error}")
 
     def start_task(self, work: Awaitable[None]) -> None:
-        """Runs `work` beside the rest."""
+        """Runs `work` as a background task."""
         task = self.loop.create_task(work)
         self.background_tasks.add(task)
         task.add_done_callback(self.background_tasks.discard)
 
-    # Changes while it serves.
+    # Changes while the node serves.
 
     def on_processes_changed(self) -> None:
-        """Another process of this node has started, become ready or ended: all share the budgets."""
-        processes = 1 + self.succession.other_processes()
+        """Handles that another process of this node has started, become ready or ended.
+
+        All processes of the node share its budgets.
+        """
+        processes = 1 + self.handover.other_processes()
         self.descriptors.set_process_count(processes)
         self.front_end.memory_budget.set_process_count(processes)
-        if self.succession.predecessor is None and self.gossip_postponed:
+        if self.handover.predecessor is None and self.gossip_postponed:
             self.gossip_postponed = False
-            # The predecessor may hold the peers' address for a moment more.
-            self.start_task(optional_parts.add_gossip(self, patiently=True))
+            # The predecessor may release the gossip address a moment later.
+            self.start_task(optional_parts.add_gossip(self, retry_bind=True))
         listener = self.front_end.listener
         if self.front_end.shutting_down and listener is not None:
-            if self.succession.has_ready_successor():
+            if self.handover.has_ready_successor():
                 listener.pause()
             else:
                 listener.resume()
 
     def block_tenants(self, source: VerdictSource, names: set[str]) -> None:
-        """Sets the tenants that one source blocks."""
+        """Sets the names of the tenants that one source blocks."""
         self.blocked_tenants[source] = names
         self.front_end.set_blocked_tenants(set().union(*self.blocked_tenants.values()))
 
@@ -277,7 +286,7 @@
         self.configuration_reload.request()
 
     def apply_configuration(self, configuration: Configuration) -> None:
-        """A new address of discovery counts at once; the rest waits for a restart."""
+        """Takes over a new discovery address at once; other changes take effect at the next start."""
         self.configuration = configuration
         if configuration.discovery != self.discovery.address:
             self.discovery.move(configuration.discovery)
--- a/basalthoist/net/uploads.py
+++ b/basalthoist/net/uploads.py
@@ -1,4 +1,4 @@
-"""Request bodies too long to buffer: they are streamed to a backend as they are read from the client."""
+"""Request bodies too long to buffer, which are streamed from the client to a backend."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING
@@ -11,27 +11,30 @@
 
 
 class Upload:
-    """The body of one request, between the client's connection and the one attempt that it is sent with.
+    """The streamed body of one request, from the client's connection to a single attempt.
 
-    Until there is an attempt it is buffered, and no more is read than `max_buffered_bytes`.
-    `on_forwarding_started` is called once bytes have been written, after which the body cannot be sent
-    again, and `on_complete` when the last byte has come.
+    Until there is an attempt the body is buffered; above `max_buffered_bytes` reading from the client pauses.
+    `on_forwarding_started` is called when the body is first written to a backend, after which it cannot be
+    sent again. `on_complete` is called when the last byte has arrived.
     """
 
     def __init__(self, client: "HttpClientConnection", length: int | None, max_buffered_bytes: int) -> None:
         self.client: HttpClientConnection = client
-        self.length: int | None = length  # None: sent in chunks
+        self.length: int | None = length  # in bytes; None: unknown, so the body is sent in chunks
         self.max_buffered_bytes: int = max_buffered_bytes
         self.buffer: bytearray = bytearray()
         self.complete: bool = False
         self.connection: Connection | None = None
-        self.consumed: bool = False  # part of it has been written and is not kept
-        self.timeout: int = 0  # of the request from the body's last byte on, in tenths of a millisecond
+        self.consumed: bool = (
+            False  # bytes have been written and are no longer buffered: no retry is possible
+        )
+        # Of the request, counted from the last byte of the body, in tenths of a millisecond.
+        self.timeout: int = 0
         self.on_forwarding_started: Callable[[], None] = lambda: None
         self.on_complete: Callable[[], None] = lambda: None
 
     def take(self, data: bytes | memoryview | bytearray) -> None:
-        """Forwards or buffers a part of the body, as the client's connection reads it."""
+        """Forwards or buffers bytes of the body that the client's connection has read."""
         if self.connection is not None:
             return self.connection.forward(self.framed(data))
         self.buffer += data
@@ -39,23 +42,23 @@
             self.client.pause_body(True)
 
     def end(self) -> None:
-        """The last byte has come."""
+        """Records that the last byte of the body has arrived."""
         self.complete = True
         if self.connection is not None:
             self.finish()
         self.on_complete()
 
     def framed(self, data: bytes | memoryview | bytearray) -> list:
-        """A part of the body as it is written to the backend."""
+        """Returns bytes of the body with their framing, as written to the backend."""
         return [data] if self.length is not None else chunk_of(data)
 
     def finish(self) -> None:
-        """Writes what ends the body."""
+        """Writes the last chunk, if the body is sent in chunks."""
         if self.length is None:
             self.connection.forward([LAST_CHUNK])
 
     def attach(self, connection: "Connection") -> None:
-        """Begins to forward to a connection to which the head of the attempt has been written."""
+        """Starts forwarding to a backend connection on which the attempt's head has been written."""
         self.connection = connection
         self.consumed = True
         buffered, self.buffer = bytes(self.buffer), bytearray()
@@ -68,9 +71,9 @@
             self.client.pause_body(False)
 
     def detach(self) -> None:
-        """The attempt has ended; what still comes of the body is not needed."""
+        """Stops forwarding, as the attempt has ended."""
         self.connection = None
 
     def apply_backpressure(self, active: bool) -> None:
-        """Pauses or resumes reading the body from the client."""
+        """Pauses reading the body from the client while the backend takes no more of it; resumes after."""
         self.client.pause_body(active)
