--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -530,7 +530,7 @@
     settings = {"policy_limits__probes": True, "feedback__fields": ["inflight"], "prices__probe": 0.001}
     made, host = node([listed("a")], **settings)
     backend = made.backends["a"]
-    backend.service_time_sum, backend.service_slots = (
+    backend.service_time_sum, backend.service_time_count = (
         slots * 20_000.0,
         slots,
     )  # two seconds each, over the objective of 3000
