--- a/basalthoist/net/clients/__init__.py
+++ b/basalthoist/net/clients/__init__.py
@@ -1,1 +1,1 @@
-"""Clients' HTTP connections: the front end, the connections and their limits."""
+"""The HTTP front end, clients' connections, and the limits on them."""
--- a/basalthoist/net/clients/disconnects.py
+++ b/basalthoist/net/clients/disconnects.py
@@ -1,4 +1,4 @@
-"""Detects disconnects of clients that are not read from: the event loop reports no end meanwhile."""
+"""Detects disconnects of clients while reading from them is paused, when the event loop reports none."""
 
 import select
 from typing import TYPE_CHECKING
@@ -9,13 +9,14 @@
 if TYPE_CHECKING:
     from basalthoist.net.clients.http_connection import HttpClientConnection
 
-POLL_INTERVAL = SECOND // 40  # for an attempt at another site the way there comes on top
+# In tenths of a millisecond. Another site sees a disconnect later still, by the transit time to it.
+POLL_INTERVAL = SECOND // 40
 
 
 class DisconnectMonitor:
-    """Polls all clients that are not read from by one system call; no timer runs while there are none.
+    """Polls all clients whose reading is paused by one system call. Without such clients no timer runs.
 
-    POLLRDHUP reports an end behind unread bytes, as far as these have come into the machine's buffer.
+    POLLRDHUP reports the end of a connection even behind unread bytes, once they are in the kernel's buffer.
     """
 
     def __init__(self, timers: Timers) -> None:
@@ -26,7 +27,7 @@
         self.clients: dict[int, HttpClientConnection] = {}  # by descriptor
 
     def watch(self, client: "HttpClientConnection") -> None:
-        """Reading from the client has been paused."""
+        """Starts polling a client, as reading from it has been paused."""
         if client in self.descriptors:
             return
         descriptor = descriptor_of(client.transport)
@@ -40,7 +41,7 @@
             self.timers.after(POLL_INTERVAL, self.poll)
 
     def unwatch(self, client: "HttpClientConnection") -> None:
-        """Reading goes on, or the connection is about to be closed."""
+        """Stops polling a client: reading is resumed, or the connection is closed."""
         if (descriptor := self.descriptors.pop(client, None)) is not None:
             del self.clients[descriptor]
             self.poller.unregister(descriptor)
@@ -51,7 +52,7 @@
         if not self.timer_running:
             return
         self.timers.after(POLL_INTERVAL, self.poll)
-        # Guards against work that goes on for a client whose end nobody reads.
+        # Guards against attempts that continue for a client whose disconnect has not been read.
         for client in [self.clients[descriptor] for descriptor, _ in self.poller.poll(0)]:
             if client.request is not None:
                 client.abort()
--- a/basalthoist/net/clients/http_connection.py
+++ b/basalthoist/net/clients/http_connection.py
@@ -18,39 +18,43 @@
 
 
 class HttpClientConnection(asyncio.Protocol):
-    """One HTTP/1 connection of a client. It serves one request at a time; what follows waits in `reader`."""
+    """One HTTP/1 connection of a client. Serves one request at a time; later ones wait in `reader`."""
 
     def __init__(self, front_end: "FrontEnd", admitted: bool) -> None:
         limits = front_end.limits
         self.front_end: FrontEnd = front_end
-        self.admitted: bool = admitted  # false: the file-descriptor budget is spent and each request gets 503
+        # False if the descriptor budget is exhausted: each request is then answered 503.
+        self.admitted: bool = admitted
         self.transport: asyncio.Transport | None = None
         self.reader: Reader = Reader(False, limits.head_bytes, limits.body_bytes, limits.long_bytes)
         self.reader.on_long_body = self.start_upload
-        self.request: ProxiedRequest | None = None  # the one in progress
-        self.upload: Upload | None = None  # a body streamed to a backend, until its last byte has come
-        self.has_sent_request: bool = False  # whether a complete request has come yet
+        self.request: ProxiedRequest | None = None  # in progress
+        # A request body that is streamed to a backend, until its last byte has arrived.
+        self.upload: Upload | None = None
+        self.has_sent_request: bool = False  # whether a request has ever been received and started
         self.invalid_requests: int = 0
-        self.discarded_bytes: int = 0  # read after the last response
-        self.keep_alive: bool = True  # whether the connection stays open after this response
+        self.discarded_bytes: int = 0  # received after the last response
+        self.keep_alive: bool = True  # whether the connection stays open after the current response
         self.finished: bool = False  # no further request is served
         self.connected_at: int = now()
-        self.last_progress_at: int = self.connected_at  # fell idle, began to read or to be written to
-        # Of reading.
+        self.last_progress_at: int = self.connected_at  # set by `record_progress`
+        # State of reading.
         self.reading_paused: bool = False
-        self.pipeline_full: bool = False  # too much is buffered behind the request in progress
-        self.body_paused: bool = False  # the backend does not take more of the body now
-        # Of writing.
+        self.pipeline_full: bool = (
+            False  # the limit on bytes buffered behind the request in progress is exceeded
+        )
+        self.body_paused: bool = False  # the backend takes no more of the request body for now
+        # State of writing.
         self.write_buffer_full: bool = False
         self.unread_bytes: int = 0  # in the write buffer at the last sweep
-        self.last_read_at: int = now()  # when the client last took some of them
+        self.last_read_at: int = now()  # when a sweep last found that the client had read some of them
         self.http_version: str = "1.1"
-        self.stream: ResponseStream | None = None  # the response in progress, where it is streamed
+        self.stream: ResponseStream | None = None  # the response in progress, if it is streamed
 
-    # Called by the dispatcher, and by `DisconnectMonitor` while reading is paused.
+    # Called by the dispatcher; `abort` also by `DisconnectMonitor` while reading is paused.
 
     def has_disconnected(self) -> bool:
-        """Whether the client has closed, though its end may not have been read yet."""
+        """Returns whether the client has closed its connection, even if the end of file is still unread."""
         return has_ended(self.transport, select.POLLRDHUP)
 
     def abort(self) -> None:
@@ -59,7 +63,7 @@
         self.transport.abort()
 
     def connection_ended(self) -> None:
-        """Cancels the request in progress: nobody waits for its response."""
+        """Cancels the request in progress, if any, as no client waits for its response."""
         self.finished = True
         if self.request is not None:
             request, self.request = self.request, None
@@ -70,11 +74,12 @@
     def connection_made(self, transport: asyncio.Transport) -> None:
         """Registers the connection with the front end."""
         self.transport = transport
-        transport.set_write_buffer_limits(high=0)  # responses go out at once, and one at a time
+        # With any byte unwritten, no further request starts: responses are written one at a time.
+        transport.set_write_buffer_limits(high=0)
         self.front_end.clients[self] = None
 
-    def connection_lost(self, wrong: Exception | None) -> None:
-        """Releases what the connection holds."""
+    def connection_lost(self, error: Exception | None) -> None:
+        """Unregisters the connection, releases its descriptor and cancels its request."""
         self.front_end.clients.pop(self, None)
         self.front_end.idle_clients.pop(self, None)
         self.front_end.disconnect_monitor.unwatch(self)
@@ -83,7 +88,7 @@
         self.front_end.check_drained()
 
     def data_received(self, data: bytes) -> None:
-        """Feeds the reader, and starts the next request if none is in progress."""
+        """Feeds the reader and starts the next request if none is in progress."""
         if self.finished:
             return self.discard(data)
         if self.reader.idle() and self.request is None:
@@ -93,8 +98,8 @@
             self.reader.feed(data, now() - receive_buffer_delay(self.transport))
             if self.upload is not None and self.reader.next() is not None:
                 self.end_upload()
-        except Exception as wrong:
-            return self.reject_invalid(wrong)
+        except Exception as error:
+            return self.reject_invalid(error)
         if self.request is not None or self.write_buffer_full:
             return self.limit_pipeline()
         self.start_next_request()
@@ -105,13 +110,13 @@
                 self.front_end.connection_limits.enforce_memory_budget()
 
     def pause_writing(self) -> None:
-        """The write buffer is full: the backend is held back."""
+        """Pauses reading from the backend, as the write buffer is full."""
         self.write_buffer_full = True
         self.record_progress()
         self.pause_backend(True)
 
     def resume_writing(self) -> None:
-        """The write buffer has drained."""
+        """Resumes reading from the backend and starts the next request, as the write buffer has drained."""
         self.write_buffer_full = False
         self.record_progress()
         self.pause_backend(False)
@@ -120,16 +125,19 @@
     # Reading.
 
     def discard(self, data: bytes) -> None:
-        """Drops what comes after the last response."""
-        # Guards against reading on and on what nobody wants, such as a body of many megabytes.
+        """Drops bytes received after the last response, and stops reading above `long_bytes`."""
+        # Guards against reading without limit, for example the rest of a rejected body of many megabytes.
         self.discarded_bytes += len(data)
         self.record_progress()
         if self.discarded_bytes > self.front_end.limits.long_bytes:
             self.transport.pause_reading()
 
     def limit_pipeline(self) -> None:
-        """Reads on behind the request in progress, so that a disconnect is seen, up to a limit."""
-        # Guards against a client that sends on without end while its response is awaited.
+        """Pauses reading if too much is buffered behind the request in progress.
+
+        Up to the limit reading continues, so that a disconnect is detected.
+        """
+        # Guards against a client that sends without limit while its response is awaited.
         self.pipeline_full = len(self.reader.pending) > self.reader.head_bytes + self.reader.body_bytes
         self.update_reading()
 
@@ -147,31 +155,31 @@
             self.front_end.disconnect_monitor.unwatch(self)
 
     def record_progress(self) -> None:
-        """Keeps `clients` in the order of `last_progress_at`: the one idle for longest comes first."""
+        """Sets `last_progress_at` and keeps `FrontEnd.clients` in its order, the oldest first."""
         self.last_progress_at = now()
         if self.front_end.clients.pop(self, self) is None:
             self.front_end.clients[self] = None
 
     def start_upload(self, message: Message, length: int | None) -> Callable | None:
-        """The body exceeds the buffer limit: its request starts now and the body is streamed.
+        """Starts a request whose body exceeds the buffer limit, to stream the body.
 
-        Returns what is to be called with each part of the body; None: it is rejected.
+        Returns the callback for the parts of the body.
         """
         self.upload = upload = Upload(self, length, self.front_end.limits.body_bytes)
         self.body_paused = False
         self.start_request(message)
         if self.request is None:
-            self.upload = None  # it has been answered already; the rest is dropped
+            self.upload = None  # the request is answered already, and the rest of its body is dropped
         return upload.take
 
     def end_upload(self) -> None:
-        """The streamed body is complete."""
+        """Completes the upload: the last byte of the streamed body has arrived."""
         self.pause_body(False)
         upload, self.upload = self.upload, None
         upload.end()
 
     def pause_body(self, paused: bool) -> None:
-        """Backpressure from the backend that the body goes to."""
+        """Pauses or resumes reading the body, for backpressure from the backend."""
         if self.upload is not None:
             self.body_paused = paused
             self.update_reading()
@@ -179,15 +187,15 @@
     # Starting and rejecting requests.
 
     def start_next_request(self) -> None:
-        """Starts the next request that has been read, if any."""
+        """Starts the next complete request in `reader`, if any."""
         if self.request is not None or self.write_buffer_full or self.finished:
             return
         try:
             message = self.reader.next()
-        except Exception as wrong:
-            return self.reject_invalid(wrong)
+        except Exception as error:
+            return self.reject_invalid(error)
         if self.finished:
-            return  # it has been answered before its body was complete
+            return  # reading it started an upload that was answered at once
         if message is not None and self.upload is not None:
             return self.end_upload()
         self.limit_pipeline()
@@ -198,37 +206,38 @@
             self.transport.write(CONTINUE)
 
     def start_request(self, message: Message) -> None:
-        """Passes a request to the front end; a failure there answers this request only."""
+        """Passes a request to the front end; an exception there affects this request only."""
         self.keep_alive = message.keep_alive and self.admitted
         self.has_sent_request = True
         self.http_version = message.version
         try:
             self.front_end.accept_request(self, message)
-        except BadMessage as wrong:
+        except BadMessage as error:
             self.invalid_requests += 1
             self.keep_alive = self.keep_alive and self.invalid_requests < self.front_end.limits.client_errors
-            self.answer(wrong.status)
-        except Exception as wrong:
-            # Guards against one request that breaks something here and takes the connection's others along.
-            self.front_end.log(f"request failed: {wrong!r}")
+            self.answer(error.status)
+        except Exception as error:
+            # Guards against an exception that would end the other requests of this connection.
+            self.front_end.log(f"request failed: {error!r}")
             if self.request is None:
                 self.answer(500)
             else:
                 self.front_end.dispatcher.end_failed(self.request)
 
-    def reject_invalid(self, wrong: Exception) -> None:
-        """Answers bytes that are no valid request."""
-        if isinstance(wrong, BadMessage):
-            self.reject(wrong.status)
+    def reject_invalid(self, error: Exception) -> None:
+        """Answers the exception that the reader raised: the status of a BadMessage, or 500."""
+        if isinstance(error, BadMessage):
+            self.reject(error.status)
         else:
-            self.front_end.log(f"request not read: {wrong!r}")
+            self.front_end.log(f"request not read: {error!r}")
             self.reject(500)
 
     def reject(self, status: int, headers: Iterable[Header] = ()) -> None:
-        """Answers and closes: where the message ends is unknown, so nothing more can be read."""
+        """Answers with the status and closes: as the end of the message is unknown, no other can follow."""
         if self.upload is not None and self.request is not None:
             request, self.request = self.request, None
-            self.front_end.dispatcher.client_disconnected(request)  # its body will never be complete
+            # Its body will never be complete.
+            self.front_end.dispatcher.client_disconnected(request)
             if request.stream is not None:
                 return self.transport.abort()
         if self.request is None:
@@ -236,13 +245,13 @@
             self.answer(status, headers)
 
     def reject_partial_request(self) -> None:
-        """Rejects the request read in part and releases its bytes."""
+        """Rejects the incomplete request and releases its buffer."""
         self.reject(503, [RETRY_AFTER])
         self.reader.restart()
         self.reader.pending = b""
 
     def time_out(self) -> None:
-        """Ends a connection that is too slow: by 408 where a response can still be written."""
+        """Ends a connection that is too slow, with 408 if a response can still be written."""
         if self.write_buffer_full or self.finished:
             self.transport.abort()
         else:
@@ -256,40 +265,40 @@
         if self.finished or self.transport.is_closing():
             return
         self.abandon_upload()
-        # Guards against a connection that breaks as it is written to, from within a decision.
+        # Guards against a write that raises from within a decision of the balancer.
         try:
             self.write(status, headers, body)
-        except Exception as wrong:
-            self.front_end.log(f"answer not written: {wrong!r}")
+        except Exception as error:
+            self.front_end.log(f"answer not written: {error!r}")
             self.transport.abort()
 
     def abandon_upload(self) -> None:
-        """A response before the body is complete is the last: what follows is the rest of the body."""
+        """Has the connection close after a response that precedes the end of the request body."""
         if self.upload is not None or self.reader.message is not None:
             self.pause_body(False)
             self.keep_alive = False
             self.upload = None
 
     def write(self, status: int, headers: Iterable[Header], body: bytes) -> None:
-        """Writes head and body at once."""
+        """Writes head and body in one call."""
         self.keep_alive = self.keep_alive and not self.is_last_response()
         head = response_head(status, [(b"Content-Length", b"%d" % len(body)), *headers], self.keep_alive)
         self.transport.writelines([head, body] if len(body) else [head])
         self.after_response()
 
     def is_last_response(self) -> bool:
-        """Whether to close after this response: the node drains and no other request has come."""
+        """Returns whether to close after this response: the node drains and no other request has arrived."""
         if not self.front_end.draining or not self.reader.idle():
             return False
         return self.front_end.shutdown.time_is_up or not self.has_unread_input()
 
     def after_response(self) -> None:
-        """Closes, goes on with the next request, or becomes idle."""
+        """Closes the connection, starts its next request, or marks it as idle."""
         self.record_progress()
         if not self.keep_alive:
             self.finish()
         elif not self.reader.idle():
-            # Not at once: a response may come from within a decision, which the next request must not enter.
+            # Deferred: a response may be written from within a decision of the balancer, which is not reentrant.
             self.front_end.loop.call_soon(self.start_next_request)
         else:
             self.front_end.add_idle(self)
@@ -297,9 +306,9 @@
     # Streamed responses.
 
     def start_stream(self, headers: Iterable[Header], length: int | None) -> Callable:
-        """Writes the head and returns what is to be called with each part of the body."""
+        """Writes the head of a streamed response. Returns the callback for the parts of its body."""
         if self.upload is not None:
-            self.keep_alive = False  # as long as both go on it is not known which ends first
+            self.keep_alive = False  # the response may end before the request body does
         self.stream = stream = ResponseStream(self, length, self.http_version)
         self.keep_alive = self.keep_alive and not self.is_last_response() and stream.framed
         self.transport.set_write_buffer_limits(high=self.front_end.limits.body_bytes // 2)
@@ -307,7 +316,7 @@
         return stream.write
 
     def end_stream(self, complete: bool) -> None:
-        """Ends a streamed response; one that is not complete is made visible to the client as such."""
+        """Ends a streamed response; if incomplete, aborts the connection so that the client detects it."""
         self.request = None
         self.abandon_upload()
         stream, self.stream = self.stream, None
@@ -319,7 +328,7 @@
             self.after_response()
 
     def pause_backend(self, paused: bool) -> None:
-        """Passes backpressure on to the backend connection of a streamed response."""
+        """Applies backpressure to the backend connection of a streamed response."""
         call = self.request.stream if self.request is not None else None
         if call is not None and call.connection is not None:
             call.connection.apply_backpressure(paused)
@@ -327,27 +336,27 @@
     # Closing.
 
     def finish(self) -> None:
-        """Ends the sending side. What still comes is discarded until the client has closed too."""
-        # Guards against a reset that overtakes the last response, as closing with bytes unread would send.
+        """Closes the sending side. Received bytes are discarded until the client closes, too."""
+        # A close with unread bytes would send a reset, which may overtake the last response.
         self.finished = True
         self.record_progress()
         self.transport.resume_reading()
         self.transport.write_eof()
 
     def close(self) -> None:
-        """Closes at once; only for a connection with nothing in progress."""
+        """Closes at once. Only for a connection with nothing in progress."""
         self.finished = True
         self.transport.close()
 
     def close_for_shutdown(self, last: bool) -> None:
-        """The process ends: what is unanswered is answered now, and the connection ends with it.
+        """Answers an unanswered request now, as the process ends, and closes the connection.
 
-        `last`: a client that has its response and does not close has had the time for it.
+        `last`: the time that a client has to close after its response is over, so the connection is aborted.
         """
         if self.transport.is_closing():
             return
         if self.request is not None:
-            # Guards against a request whose timeout is beyond that of every route: it would get no response.
+            # Guards against no response to a request whose timeout exceeds that of every route.
             self.front_end.dispatcher.end_unanswered(self.request)
         elif self.transport.get_write_buffer_size():
             pass  # a response is being written
@@ -355,15 +364,16 @@
             if last:
                 self.transport.abort()
         elif self.has_partial_request():
-            # Guards against a request whose last byte comes as its connection is closed.
+            # Guards against a request whose last byte arrives as its connection is closed.
             self.reject(503, [RETRY_AFTER])
         elif self.is_idle():
-            self.close()  # otherwise what has come is read in the loop's next turn, and answered
+            self.close()
+        # Otherwise unread bytes have arrived; they are read in the next turn of the event loop, and answered.
 
     # The state of the connection.
 
     def is_idle(self) -> bool:
-        """Nothing in progress, read in part or come and not yet read: closing it loses no request."""
+        """Returns whether no request is in progress, partly read or unread, so that closing loses none."""
         if self.request is not None or not self.reader.idle() or self.write_buffer_full or self.finished:
             return False
         if self.transport.is_closing():
@@ -371,22 +381,22 @@
         return not self.has_unread_input()
 
     def has_unread_input(self) -> bool:
-        """Whether bytes lie in the machine's buffer that have not been read here."""
+        """Returns whether the kernel's receive buffer holds unread bytes."""
         return is_ready(descriptor_of(self.transport), select.POLLIN)
 
     def has_partial_request(self) -> bool:
-        """Whether a request has been read in part and has not been started yet."""
+        """Returns whether part of a request has been read that is not started yet."""
         return self.request is None and not (self.finished or self.write_buffer_full or self.reader.idle())
 
     def is_evictable(self) -> bool:
-        """Whether its descriptor can be freed: half-way in a request, or finished and not closing."""
+        """Returns whether its descriptor can be freed: it is half-closed, or has only a partial request."""
         # Guards against evicting a client whose response is being written, or that has sent unread bytes.
         if self.finished:
             return not self.transport.get_write_buffer_size()
         return self.has_partial_request() and not self.has_unread_input()
 
     def buffered_bytes(self) -> int:
-        """Bytes buffered for this connection and its request, on either side."""
+        """Returns the bytes buffered for this connection and its request, on the backends' side too."""
         if self.transport.is_closing():
             return 0
         total = self.reader.buffered_bytes() + self.transport.get_write_buffer_size()
--- a/basalthoist/net/clients/response_stream.py
+++ b/basalthoist/net/clients/response_stream.py
@@ -1,4 +1,4 @@
-"""Responses that are passed on to a client as they come from a backend."""
+"""Responses that are streamed to a client as they arrive from a backend."""
 
 import socket
 import struct
@@ -15,7 +15,7 @@
 
 
 class ResponseStream:
-    """The body of one response. With neither a length nor chunks, as for HTTP/1.0, the close ends it."""
+    """Writes the body of one response: with a length, in chunks, or (HTTP/1.0) ended by the close."""
 
     __slots__ = ("client", "length", "chunked", "framed")
 
@@ -26,7 +26,7 @@
         self.framed: bool = self.chunked or length is not None
 
     def with_framing(self, headers: Iterable[Header]) -> Iterable[Header]:
-        """The headers of the response, ahead of them the one that frames the body."""
+        """Returns the headers, preceded by the header that frames the body, if any."""
         if self.chunked:
             return [(b"Transfer-Encoding", b"chunked"), *headers]
         if self.framed:
@@ -34,7 +34,7 @@
         return headers
 
     def write(self, data: bytes | memoryview) -> None:
-        """Writes a part of the body."""
+        """Writes the next bytes of the body."""
         client = self.client
         if client.finished or client.transport.is_closing():
             return
@@ -44,14 +44,15 @@
             client.transport.write(data)
 
     def end(self) -> None:
-        """The body is complete."""
+        """Writes the last chunk, if the body is chunked."""
         if self.chunked:
             self.client.transport.write(LAST_CHUNK)
 
     def abort(self) -> None:
-        """Closes in the midst of the body, so that the client can tell."""
+        """Aborts the connection before the body is complete, so that the client can detect it."""
         transport = self.client.transport
-        if not self.framed:  # only a reset tells the client that it has not got all
+        if not self.framed:
+            # Without framing, only a reset tells the client that the body is incomplete.
             sock = transport.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         transport.abort()
--- a/basalthoist/net/clients/responses.py
+++ b/basalthoist/net/clients/responses.py
@@ -1,4 +1,4 @@
-"""Heads of the responses that clients get."""
+"""Heads of the responses to clients."""
 
 from collections.abc import Iterable
 
@@ -26,6 +26,6 @@
 
 
 def response_head(status: int, headers: Iterable[Header], keep_alive: bool) -> bytes:
-    """A whole head, with `Connection: close` unless the connection stays open."""
+    """Returns a complete head, with `Connection: close` unless `keep_alive`."""
     connection = b"" if keep_alive else b"Connection: close\r\n"
     return head_of(b"HTTP/1.1 %d %b" % (status, REASONS[status]), headers) + connection + b"\r\n"
--- a/basalthoist/net/clients/timeouts.py
+++ b/basalthoist/net/clients/timeouts.py
@@ -1,4 +1,4 @@
-"""Timeouts of clients' connections, enforced by a sweep over all of them."""
+"""Timeouts of clients' connections, enforced by a periodic sweep over all connections."""
 
 from typing import TYPE_CHECKING
 
@@ -8,11 +8,11 @@
 if TYPE_CHECKING:
     from basalthoist.net.clients.http_connection import HttpClientConnection
 
-SWEEP_INTERVAL = SECOND // 4
+SWEEP_INTERVAL = SECOND // 4  # tenths of a millisecond
 
 
 def enforce_timeouts(client: "HttpClientConnection", limits: Limits, at: int) -> None:
-    """Closes the connection where it exceeds one of the timeouts. `at`: the time of the sweep."""
+    """Closes the connection if it exceeds one of the timeouts. `at`: the time of the sweep."""
     if client.transport.is_closing():
         return
     unread_bytes = client.transport.get_write_buffer_size()
@@ -20,11 +20,11 @@
         client.unread_bytes = unread_bytes
         client.last_read_at = at
     if unread_bytes:
-        # Guards against responses that are never read; one that is read slowly has its time.
+        # Guards against responses that are never read. A client that reads slowly is not cut off.
         if at - client.last_read_at > limits.client_stall_s * SECOND:
             client.transport.abort()
         return
-    # What has come of a body extends the time for the rest of it.
+    # The bytes of a body that have arrived extend the time for the rest of it.
     body_allowance = int(client.reader.received_bytes / limits.client_bytes_per_s * SECOND)
     if client.request is not None:
         _enforce_upload_timeout(client, limits, at, body_allowance)
@@ -35,11 +35,12 @@
 def _enforce_upload_timeout(
     client: "HttpClientConnection", limits: Limits, at: int, body_allowance: int
 ) -> None:
-    """For a connection with a request in progress, whose body may still be coming."""
+    """Handles a connection with a request in progress, whose body may still be incomplete."""
     if client.upload is None:
         return
     if client.body_paused:
-        client.last_progress_at += SWEEP_INTERVAL  # the backend takes this time, not the client
+        # The backend delays the body, not the client.
+        client.last_progress_at += SWEEP_INTERVAL
     elif at - client.last_progress_at > limits.client_read_s * SECOND + body_allowance:
         client.transport.abort()
 
@@ -47,9 +48,9 @@
 def _enforce_request_timeouts(
     client: "HttpClientConnection", limits: Limits, at: int, body_allowance: int
 ) -> None:
-    """For a connection with no request in progress: idle, half-way through a request, or half-closed."""
+    """Handles a connection with no request in progress: idle, with a partial request, or half-closed."""
     idle_time = at - client.last_progress_at
-    # Guards against crowds that connect and say nothing, or never complete their first request.
+    # Guards against many clients that connect and send nothing, or never complete their first request.
     first_request_late = (
         not client.has_sent_request
         and at - client.connected_at > limits.client_first_s * SECOND + body_allowance
--- a/basalthoist/net/service.py
+++ b/basalthoist/net/service.py
@@ -242,7 +242,7 @@
             raise
 
     async def join_fleet(self) -> None:
-        """Opens the fleet's socket. Without it the node serves by its last view, or drains once it is stale."""
+        """Opens the fleet's socket. Without it the node serves by its last view, or drains if stale."""
         address = self.fleet.addresses[self.configuration.name]
         try:
             await self.bind_with_retries(lambda: self.open_datagrams(self.fleet, address))
