--- a/basalthoist/net/clients/connection_limits.py
+++ b/basalthoist/net/clients/connection_limits.py
@@ -12,9 +12,8 @@
 # MEMORY_RECOVERED the log says that they are admitted again.
 MEMORY_RECOVERED = 0.5
 MEMORY_TARGET = 0.9
-PARTIAL_REQUEST_GRACE = (
-    SECOND  # tenths of a millisecond without progress before an incomplete request is evicted
-)
+# How long an incomplete request must be without progress to be evicted, in tenths of a millisecond.
+PARTIAL_REQUEST_GRACE = SECOND
 
 
 class ConnectionLimits:
--- a/basalthoist/net/clients/http_connection.py
+++ b/basalthoist/net/clients/http_connection.py
@@ -298,7 +298,7 @@
         if not self.keep_alive:
             self.finish()
         elif not self.reader.idle():
-            # Deferred: a response may be written from within a decision of the balancer, which is not reentrant.
+            # Deferred: this may run within a decision of the balancer, and decisions are not reentrant.
             self.front_end.loop.call_soon(self.start_next_request)
         else:
             self.front_end.add_idle(self)
