--- a/basalthoist/net/listener.py
+++ b/basalthoist/net/listener.py
@@ -110,9 +110,9 @@
         """
         if self.listening:
             self.loop.remove_reader(self.sock)
-            self.timers.after(ACCEPT_RETRY_DELAY, self.watch)
+            self.timers.after(ACCEPT_RETRY_DELAY, self.wait_for_connections)
 
-    def watch(self) -> None:
+    def wait_for_connections(self) -> None:
         """Has the event loop call `accept` when a connection waits."""
         if self.listening and not self.paused:
             self.loop.add_reader(self.sock, self.accept)
@@ -127,7 +127,7 @@
         """Accepts again after `pause`, as the other process has ended."""
         if self.paused:
             self.paused = False
-            self.watch()
+            self.wait_for_connections()
 
     def close(self) -> None:
         """Closes the socket at once; connections in its backlog are reset."""
