--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -1,4 +1,4 @@
-"""Parts of the node by themselves."""
+"""Unit tests of parts of the node: framing, timers, configuration, dispatcher, log and front end."""
 
 import asyncio
 import json
@@ -26,7 +26,7 @@
 from basalthoist.net.upstream.upstream import Upstream
 from basalthoist.settings_codec import flatten, parse_pairs
 
-ANSWERS = [
+RESPONSES = [
     (b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nA: b\r\n\r\nbody", b"body", True),
     (b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n", b"", False),
     (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nb\r\n3\r\nody\r\n0\r\n\r\n", b"body", True),
@@ -34,38 +34,38 @@
 ]
 
 
-@pytest.mark.parametrize(("data", "body", "keep"), ANSWERS)
-def test_a_message_is_the_same_wherever_it_is_split(data, body, keep):
+@pytest.mark.parametrize(("data", "body", "keep"), RESPONSES)
+def test_message_parsed_alike_wherever_it_is_split(data, body, keep):
     for at in range(len(data) + 1):
         reader = Reader(True, 1000, 1000)
         found = []
         for part in (data[:at], data[at:]):
             reader.feed(part, 1)
             found.append(reader.next())
-        whole = [m for m in found if m is not None]
-        assert [(bytes(m.body), m.keep_alive) for m in whole] == [(body, keep)]
+        complete = [m for m in found if m is not None]
+        assert [(bytes(m.body), m.keep_alive) for m in complete] == [(body, keep)]
         assert reader.idle()
 
 
-def test_a_body_read_at_once_is_a_slice_of_what_was_read():
+def test_body_received_in_one_read_is_not_copied():
     reader, data = Reader(False, 1000, 1000), b"POST / HTTP/1.1\r\nContent-Length: 4\r\n\r\nbody"
     reader.feed(data, 1)
     assert reader.next().body.obj is data
 
 
-def test_what_follows_a_chunked_message_is_the_next_one():
+def test_bytes_after_chunked_message_start_next_message():
     reader = Reader(True, 1000, 1000)
-    reader.feed(ANSWERS[2][0] + ANSWERS[0][0], 1)
+    reader.feed(RESPONSES[2][0] + RESPONSES[0][0], 1)
     message = reader.next()
     assert (message.body, message.keep_alive) == (b"body", True)
     assert message.headers == [(b"transfer-encoding", b"chunked")]
-    assert not reader.idle()  # so that a backend's connection is not used on
+    assert not reader.idle()  # a connection to a backend with such bytes is not reused
     assert reader.next().headers == [(b"content-length", b"4"), (b"a", b"b")]
 
 
 @pytest.mark.parametrize("delay", [1, 3, 9, 11, 15, 29])
-def test_nothing_due_is_woken_early(delay):
-    """The loop's own timers fire up to a millisecond early; the decisions would lose a wake too early."""
+def test_timer_never_fires_early(delay):
+    """Timers of the event loop fire up to 1 ms early, when the balancer would find nothing due yet."""
 
     async def measure():
         loop = asyncio.get_running_loop()
@@ -79,7 +79,7 @@
     assert min(uvloop.run(measure())) >= 0
 
 
-def test_one_failing_timer_does_not_stop_the_others():
+def test_failing_timer_does_not_stop_other_timers():
     async def run():
         loop, lines = asyncio.get_running_loop(), []
         timers, done = Timers(loop, lines.append), loop.create_future()
@@ -91,13 +91,13 @@
     assert "ZeroDivisionError" in uvloop.run(run())[0]
 
 
-def test_a_clock_that_is_set_makes_no_other_start(monkeypatch):
+def test_clock_change_does_not_change_start_time_of_endpoint(monkeypatch):
     translator, entry = Translator(["a"], ["m"]), ListedEndpoint("s", locality="a", up_since_ms=5_000)
-    first = translator.translate(entry)
+    before = translator.translate(entry)
     monkeypatch.setattr("time.time_ns", lambda: 99_000_000_000)
-    assert translator.translate(entry) == first
+    assert translator.translate(entry) == before
     entry.up_since_ms += 1
-    assert translator.translate(entry).started != first.started
+    assert translator.translate(entry).started != before.started
 
 
 @pytest.mark.parametrize(
@@ -109,7 +109,7 @@
         ("unheard-of", "c", "draining", 2),
     ],
 )
-def test_members_in_the_words_of_the_decisions(phase, locality, state, location):
+def test_discovery_phase_translated_to_endpoint_state(phase, locality, state, location):
     translator = Translator(["a", "b"], [])
     listed = translator.translate(ListedEndpoint("s", locality=locality, phase=phase))
     assert (listed.state, listed.zone, listed.started) == (state, location, None)
@@ -125,12 +125,12 @@
         (None, None),
     ],
 )
-def test_load_reports(text, load):
+def test_load_report_parsed(text, load):
     assert parse_load_report(text) == load
 
 
 @pytest.mark.parametrize(
-    ("path", "value", "named"),
+    ("path", "value", "error"),
     [
         ("limits.sockets", 10, "$.limits.sockets"),
         ("limits.client_idle_s", "long", "$.limits.client_idle_s"),
@@ -145,24 +145,24 @@
         ("known.revision", None, "$.known.revision"),
     ],
 )
-def test_a_faulty_configuration_is_named_by_its_key(path, value, named):
-    made = document("127.0.0.1:1")
-    inner = made
+def test_invalid_configuration_error_names_the_key(path, value, error):
+    configuration = document("127.0.0.1:1")
+    inner = configuration
     *outer, last = path.split(".")
     for key in outer:
         inner = inner.setdefault(key, {})
     inner[last] = value
-    with pytest.raises(ConfigurationError, match=named.replace("$", r"\$")):
-        decode(json.dumps(made).encode(), {})
+    with pytest.raises(ConfigurationError, match=error.replace("$", r"\$")):
+        decode(json.dumps(configuration).encode(), {})
 
 
-def test_the_environment_goes_before_the_file():
+def test_environment_overrides_configuration_file():
     environment = {"PROXY_LISTEN": "127.0.0.2:7", "PROXY_NAME": "x"}
     found = decode(json.dumps(document("127.0.0.1:1")).encode(), environment)
     assert (found.listen, found.name, found.discovery) == (("127.0.0.2", 7), "x", ("127.0.0.1", 1))
 
 
-def test_settings_are_the_same_from_the_wire_and_from_json():
+def test_settings_equal_from_wire_and_from_json():
     nested = {
         "accounts": [{"name": "x", "quota_per_s": 2.5}], "feedback": {"fields": ["rif", "q"]}, "siblings": 3,
         "routes": [{"semantics": "at_most_once", "group": "cell"}], "zone": 1, "tick": 1000,
@@ -175,7 +175,7 @@
     assert flatten(nested)["routes.0.group"] == "cell"
 
 
-def test_the_budget_of_descriptors_closes_what_is_idle_first():
+def test_descriptor_budget_reclaims_own_idle_connections_first():
     budget, idle = DescriptorBudget(3), ["one"]
 
     def close_one():
@@ -198,7 +198,7 @@
     ]
 
 
-def test_what_came_while_the_process_stood_still_is_read_before_anything_is_due():
+def test_sockets_read_before_due_timers_after_suspension():
     async def run():
         loop, order, done = asyncio.get_running_loop(), [], asyncio.get_running_loop().create_future()
         timers = Timers(loop, print)
@@ -224,18 +224,22 @@
 
 class Client:
     def __init__(self):
-        self.request, self.answers = None, []
+        self.request, self.statuses = None, []
 
     def answer(self, status, headers=(), body=b""):
-        self.answers.append(status)
+        self.statuses.append(status)
 
 
-def exchanges_on(loop):
-    made = decode(json.dumps(document("127.0.0.1:1")).encode(), {})
+def dispatcher_on(loop):
+    configuration = decode(json.dumps(document("127.0.0.1:1")).encode(), {})
     log = Log("n0", 100)
     timers = Timers(loop, log)
     return RequestDispatcher(
-        made, loop, timers, Upstream(loop, timers, log, DescriptorBudget(9), made.limits, 1, 1), log
+        configuration,
+        loop,
+        timers,
+        Upstream(loop, timers, log, DescriptorBudget(9), configuration.limits, 1, 1),
+        log,
     )
 
 
@@ -245,54 +249,54 @@
     return client, dispatcher.start(client, message, 1, 0, timeout, False)
 
 
-def broken(*what):
+def raise_key_error(*arguments):
     raise KeyError("broken")
 
 
 @pytest.mark.parametrize("failing", ["on_request", "on_attempt_ended"])
-def test_a_failing_decision_ends_its_own_exchange_only(failing):
+def test_failing_decision_ends_only_its_own_request(failing):
     async def run():
-        dispatcher = exchanges_on(asyncio.get_running_loop())
-        setattr(dispatcher.balancer, failing, broken)
+        dispatcher = dispatcher_on(asyncio.get_running_loop())
+        setattr(dispatcher.balancer, failing, raise_key_error)
         first, request = start(dispatcher, 500)
         if failing == "on_attempt_ended":
             dispatcher.send(request.id, "unlisted", 100)
-            while not first.answers:
+            while not first.statuses:
                 await asyncio.sleep(0)
         delattr(dispatcher.balancer, failing)
         second, _ = start(dispatcher, 20)
-        while not second.answers:
+        while not second.statuses:
             await asyncio.sleep(0)
         assert not dispatcher.in_progress
-        return first.answers, second.answers
+        return first.statuses, second.statuses
 
     assert uvloop.run(run()) == ([500], [503])
 
 
-def test_an_exchange_that_the_decisions_lost_is_answered_all_the_same():
+def test_request_lost_by_balancer_answered_500_at_deadline():
     async def run():
-        dispatcher = exchanges_on(asyncio.get_running_loop())
-        dispatcher.balancer.on_request = lambda *what: None
+        dispatcher = dispatcher_on(asyncio.get_running_loop())
+        dispatcher.balancer.on_request = lambda *arguments: None
         began = now()
         client, _ = start(dispatcher, 10)
-        while not client.answers:
+        while not client.statuses:
             await asyncio.sleep(0)
-        return client.answers, now() - began
+        return client.statuses, now() - began
 
-    answers, took = uvloop.run(run())
-    assert answers == [500] and 100 <= took < 600
+    statuses, duration = uvloop.run(run())
+    assert statuses == [500] and 100 <= duration < 600
 
 
-def test_a_wake_that_comes_late_goes_before_what_is_answered_for_the_decisions():
-    """Seen on a busy machine: 500 where the decisions refused what had never been sent."""
+def test_late_wake_of_balancer_precedes_overdue_answer():
+    """Guards against 500 instead of the balancer's 503 for a request never sent, seen on a busy machine."""
 
     async def run():
-        dispatcher = exchanges_on(asyncio.get_running_loop())
-        dispatcher.wake = lambda after, tag: None  # for ever late
+        dispatcher = dispatcher_on(asyncio.get_running_loop())
+        dispatcher.wake = lambda after, tag: None  # the balancer's timers never fire
         client, _ = start(dispatcher, 30)
-        while not client.answers:
+        while not client.statuses:
             await asyncio.sleep(0)
-        return client.answers
+        return client.statuses
 
     assert uvloop.run(run()) == [503]
 
@@ -301,19 +305,19 @@
     ("status", "headers", "outcome"),
     [(200, [], 0), (500, [], 1), (503, [], 1), (504, [(b"not-started", b"1")], 2), (404, [], 1)],
 )
-def test_outcomes(status, headers, outcome):
-    answer = Message()
-    answer.status, answer.headers = status, headers
-    assert outcome_of(answer) == Outcome(outcome)
+def test_outcome_of_response_status(status, headers, outcome):
+    response = Message()
+    response.status, response.headers = status, headers
+    assert outcome_of(response) == Outcome(outcome)
 
 
-def test_a_log_that_nobody_reads_holds_up_nothing(monkeypatch):
+def test_full_log_pipe_does_not_block(monkeypatch):
     source, sink = os.pipe()
-    with open(source, "rb", buffering=0) as reader, open(sink, "w") as full:
-        monkeypatch.setattr("sys.stderr", full)
+    with open(source, "rb", buffering=0) as reader, open(sink, "w") as pipe:
+        monkeypatch.setattr("sys.stderr", pipe)
         log, clock = Log("n0", 1 << 20), [5.0]
         monkeypatch.setattr("time.monotonic", lambda: clock[0])
-        signal.alarm(20)  # a write that blocks would wait for ever
+        signal.alarm(20)  # ends the test if a write blocks
         for _ in range(3000):
             log("x" * 100)
         signal.alarm(0)
@@ -324,7 +328,7 @@
         assert reader.read(1 << 20).endswith(b"lines left out\nn0: last\n")
 
 
-def test_the_log_leaves_lines_out_and_says_so(capsys, monkeypatch):
+def test_log_reports_dropped_lines(capsys, monkeypatch):
     clock = [5.0]
     monkeypatch.setattr("time.monotonic", lambda: clock[0])
     log = Log("n0", 2)
@@ -336,56 +340,57 @@
     assert lines[:4] == ["n0: line 0", "n0: line 1", "n0: 3 lines left out", "n0: last"]
 
 
-def test_once_all_is_answered_nobody_else_is_taken_in():
-    """Nobody comes between the last look into the queue and its end; whom another may serve is left to it."""
+def test_no_connection_accepted_after_listener_is_closed():
+    """A connection after the last accept is refused, or left to a process that shares the socket."""
 
-    async def leave_and_connect():
+    async def drain_and_connect():
         loop = asyncio.get_running_loop()
-        told = decode(json.dumps(document("127.0.0.1:9")).encode(), {})
+        configuration = decode(json.dumps(document("127.0.0.1:9")).encode(), {})
         log = Log("n0", 20)
         for shared in (True, False):
-            front_end = FrontEnd(told, loop, Timers(loop, log), None, DescriptorBudget(100), log)
-            listener = front_end.listen(listening_socket(told.listen, 8))
-            others = listener.sock.dup() if shared else None  # another process takes from the same queue
+            front_end = FrontEnd(configuration, loop, Timers(loop, log), None, DescriptorBudget(100), log)
+            listener = front_end.listen(listening_socket(configuration.listen, 8))
+            # Stands for another process that accepts from the same socket.
+            other_listener = listener.sock.dup() if shared else None
             front_end.listener_shared = lambda shared=shared: shared
             front_end.start_draining()
             front_end.shutdown.stop_listening()
             assert front_end.drained.done()
             if shared:
-                with socket.create_connection(told.listen):
+                with socket.create_connection(configuration.listen):
                     await asyncio.sleep(0.05)
                     assert not front_end.clients
-                    others.accept()[0].close()
-                others.close()
+                    other_listener.accept()[0].close()
+                other_listener.close()
             else:
-                # In the same turn of the loop: whoever comes is told at once that nobody is here.
+                # In the same turn of the event loop, a new connection is refused.
                 with pytest.raises(ConnectionRefusedError):
-                    socket.create_connection(told.listen)
+                    socket.create_connection(configuration.listen)
             listener.close()
 
-    uvloop.run(leave_and_connect())
+    uvloop.run(drain_and_connect())
 
 
-def test_the_end_does_not_wait_for_one_that_could_not_be_taken_over():
-    """Its connection breaks between the accept and the loop's taking over, as the last one that is there."""
+def test_shutdown_does_not_wait_for_connection_that_could_not_be_set_up():
+    """The last connection breaks after the accept, before the event loop has set it up."""
 
-    async def leave():
+    async def drain():
         loop = asyncio.get_running_loop()
-        told = decode(json.dumps(document("127.0.0.1:9")).encode(), {})
+        configuration = decode(json.dumps(document("127.0.0.1:9")).encode(), {})
         log = Log("n0", 20)
-        front_end = FrontEnd(told, loop, Timers(loop, log), None, DescriptorBudget(100), log)
-        listener = front_end.listen(listening_socket(told.listen, 8))
+        front_end = FrontEnd(configuration, loop, Timers(loop, log), None, DescriptorBudget(100), log)
+        listener = front_end.listen(listening_socket(configuration.listen, 8))
 
-        async def breaks(sock, client):
+        async def fail_to_set_up(sock, client):
             front_end.descriptors.release()
             sock.close()
 
-        listener.take_over = breaks
-        with socket.create_connection(told.listen):
+        listener.take_over = fail_to_set_up
+        with socket.create_connection(configuration.listen):
             front_end.start_draining()
             front_end.shutdown.stop_listening()
             assert not front_end.drained.done()
-            await asyncio.wait_for(front_end.drained, 0.4)  # not only once the longest time is over
+            await asyncio.wait_for(front_end.drained, 0.4)  # well before the longest timeout
         return front_end.descriptors.used
 
-    assert uvloop.run(leave()) == 0
+    assert uvloop.run(drain()) == 0
