--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -1,4 +1,4 @@
-"""Answers and bodies too long to be kept, slow peers, and the forms in which messages come."""
+"""Tests of bodies too long to buffer, slow clients and backends, memory limits, and message framing."""
 
 import contextlib
 import os
@@ -29,86 +29,86 @@
 
 
 class ChunkedStandIn(StandIn):
-    """Reads chunked bodies too, in a form that keeps the chunks."""
+    """A stand-in that reads chunked request bodies, too."""
 
     def serve(self, sock):
         with contextlib.suppress(OSError, EOFError), sock, sock.makefile("rb") as source:
             while True:
-                asked = read_message(source)
-                if "transfer-encoding" in asked.headers:
+                message = read_message(source)
+                if "transfer-encoding" in message.headers:
                     while size := int(source.readline() or b"0", 16):
-                        asked.body += source.read(size)
+                        message.body += source.read(size)
                         source.readline()
                     source.readline()
-                self.seen.append(asked)
-                self.behave(self, sock, asked)
+                self.seen.append(message)
+                self.behave(self, sock, message)
 
 
-def in_pieces(sock, data, size, pause=0.0):
+def send_in_pieces(sock, data, size, pause=0.0):
     for at in range(0, len(data), size):
         sock.sendall(data[at : at + size])
         time.sleep(pause)
 
 
-# Bodies.
+# Request bodies.
 
 
-def ran(backend):
-    """The ids of those that came whole."""
-    whole = [r for r in backend.seen if len(r.body) == int(r.headers.get("content-length", -1))]
-    return [r.headers["request-id"] for r in whole]
+def completed_request_ids(backend):
+    """Returns the ids of the requests that arrived with a complete body."""
+    complete = [r for r in backend.seen if len(r.body) == int(r.headers.get("content-length", -1))]
+    return [r.headers["request-id"] for r in complete]
 
 
 @pytest.mark.parametrize("size", [30_000, 70_000, 400_000])
 @pytest.mark.parametrize("chunked", [False, True])
-def test_a_long_body_goes_on_as_it_comes(start, size, chunked):
+def test_long_body_streamed_as_it_arrives(start, size, chunked):
     program, (backend,), _ = start(ChunkedStandIn(reply()))
     parts = [LONG[at : at + 7_000] for at in range(0, len(LONG), 7_000)]
     data = request("pay", extra=CHUNKED) + b"".join(chunk(part) for part in parts) + b"0\r\n\r\n"
     with program.connect() as sock, sock.makefile("rb") as source:
-        in_pieces(sock, data if chunked else request("pay", body=LONG), size, 0.02)
+        send_in_pieces(sock, data if chunked else request("pay", body=LONG), size, 0.02)
         assert read_message(source).status == "200"
-        sock.sendall(request("pay", body=b"short", ident="2"))  # the connection goes on
+        sock.sendall(request("pay", body=b"short", ident="2"))  # the connection stays open
         assert read_message(source).status == "200"
     assert [r.body for r in backend.seen] == [LONG, b"short"]
 
 
-def test_the_time_of_a_long_body_counts_from_its_last_byte(start):
+def test_timeout_of_long_body_counts_from_its_last_byte(start):
     program, (backend,), _ = start(reply())
     with program.connect() as sock:
-        in_pieces(sock, request("pay", body=LONG, timeout=300), 30_000, 0.06)  # over half a second
+        send_in_pieces(sock, request("pay", body=LONG, timeout=300), 30_000, 0.06)  # takes over 0.5 s
         assert read_message(sock.makefile("rb")).status == "200"
     assert int(backend.seen[0].headers["request-timeout-ms"]) <= 300
 
 
-def test_a_slow_body_passes_and_one_that_stops_does_not(start):
+def test_slow_body_forwarded_and_stalled_body_aborted(start):
     program, (backend,), _ = start(reply())
     body = LONG[:200_000]
     with program.connect() as sock, program.connect() as stopped, program.connect() as short:
         began = time.monotonic()
         stopped.sendall(request("pay", body=body, ident="2")[:100_000])
         short.sendall(request("pay", body=body[:50_000], ident="3")[:20_000])
-        in_pieces(sock, request("pay", body=body), 16_000, 0.24)  # three seconds
+        send_in_pieces(sock, request("pay", body=body), 16_000, 0.24)  # takes 3 s
         assert read_message(sock.makefile("rb")).status == "200"
         for one in (stopped, short):
             with contextlib.suppress(ConnectionResetError):
                 one.recv(1000)
         assert 2 < time.monotonic() - began < 6
-    assert ran(backend) == ["1"]
+    assert completed_request_ids(backend) == ["1"]
 
 
-def test_a_body_that_is_not_whole_never_runs(start):
-    """The client goes half-way: the backend's connection ends, and the backend is used on."""
+def test_incomplete_body_never_runs(start):
+    """The client disconnects within the body: the backend's connection ends, and the backend stays in use."""
     program, (backend,), _ = start(reply())
     with program.connect() as sock:
         sock.sendall(request("pay", body=LONG)[:200_000])
         wait_for(lambda: backend.open)
     assert program.ask(request("pay", body=b"x", ident="2")).status == "200"
-    assert ran(backend) == ["2"]
+    assert completed_request_ids(backend) == ["2"]
 
 
-class TurnsAway(StandIn):
-    """Answers as soon as a head has come, and reads no body."""
+class RejectsUnread(StandIn):
+    """A stand-in that answers 503 as soon as it has read a head, and reads no body."""
 
     def serve(self, sock):
         with contextlib.suppress(OSError), sock, sock.makefile("rb") as source:
@@ -119,20 +119,22 @@
 
 
 class Resets(StandIn):
+    """A stand-in that resets the connection within a request."""
+
     def serve(self, sock):
         with sock:
             sock.recv(30_000)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
 
-@pytest.mark.parametrize("kind", [TurnsAway, Resets])
+@pytest.mark.parametrize("kind", [RejectsUnread, Resets])
 def test_a_long_body_that_was_turned_away_half_way_is_shed_once(start, kind):
-    """It cannot be sent again, and nothing has run: the client may."""
+    """The node cannot repeat the body; as nothing has run, the client may, so it gets 503."""
     program, backends, _ = start(kind(reply()), kind(reply()))
     with program.connect() as sock, sock.makefile("rb") as source:
-        in_pieces(sock, request("pay", body=LONG)[:-1], 50_000, 0.03)
-        answer = read_message(source)
-        assert (answer.status, answer.headers["connection"]) == ("503", "close")
+        send_in_pieces(sock, request("pay", body=LONG)[:-1], 50_000, 0.03)
+        response = read_message(source)
+        assert (response.status, response.headers["connection"]) == ("503", "close")
     assert sum(len(b.open) for b in backends) == 1
 
 
@@ -144,36 +146,36 @@
         (300_000, CHUNKED, "400"),
     ],
 )
-def test_what_is_wrong_with_a_long_body_is_said(start, length, extra, status):
+def test_invalid_request_with_long_body_answered_with_its_status(start, length, extra, status):
     program, (backend,), _ = start(reply())
     head = request("pay", extra=f"Content-Length: {length}\r\n" + extra)
     assert program.ask(head, LONG[:100_000]).status == status
     assert not backend.seen
 
 
-def test_a_body_over_the_limit_is_refused_as_soon_as_it_is(start):
+def test_body_over_limit_rejected_as_soon_as_limit_is_exceeded(start):
     program, (backend,), _ = start(ChunkedStandIn(reply()), limits={"long_bytes": 200_000})
     for data in (request("pay", body=LONG), request("pay", extra=CHUNKED) + chunk(LONG)):
         with program.connect() as sock:
             sock.sendall(data)
             assert read_message(sock.makefile("rb")).status == "413"
-    assert not ran(backend)
+    assert not completed_request_ids(backend)
 
 
-def test_a_long_body_that_nobody_takes_is_held_back(start):
-    """The backend reads nothing: neither memory nor the client's sending goes on."""
+def test_backpressure_on_long_body_when_backend_does_not_read(start):
+    """The backend reads nothing: neither the node's memory nor the bytes that it accepts grow further."""
 
-    class Mute(StandIn):
+    class NeverReads(StandIn):
         def serve(self, sock):
             time.sleep(5)
 
-    program, _, _ = start(Mute(reply()))
+    program, _, _ = start(NeverReads(reply()))
 
-    def held():
+    def resident_bytes():
         with open(f"/proc/{program.process.pid}/statm") as file:
             return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
-    before, sent = held(), 0
+    before, sent_bytes = resident_bytes(), 0
     with contextlib.ExitStack() as stack:
         socks = [stack.enter_context(program.connect()) for _ in range(3)]
         for number, sock in enumerate(socks):
@@ -182,21 +184,21 @@
             with contextlib.suppress(TimeoutError):
                 sock.sendall(head)
                 for _ in range(100):
-                    sent += sock.send(LONG)
-        assert sent < 3 * 20_000_000  # the machine's own buffers take some megabytes
-        assert held() - before < 8_000_000
+                    sent_bytes += sock.send(LONG)
+        assert sent_bytes < 3 * 20_000_000  # the kernel's buffers take some megabytes
+        assert resident_bytes() - before < 8_000_000
 
 
-# Answers.
+# Responses.
 
 
 WITH_LENGTH = f"Content-Length: {len(LONG)}\r\n".encode()
 
 
-def long_answer(pause=0.0, size=30_000, head=WITH_LENGTH, end=b"", gate=None):
-    """`gate`: the last part is sent once there is something in it."""
+def long_response(pause=0.0, size=30_000, head=WITH_LENGTH, end=b"", gate=None):
+    """Sends LONG in parts; with `gate`, the last part only once `gate` is not empty."""
 
-    def behave(_, sock, asked):
+    def behave(_, sock, message):
         sock.sendall(b"HTTP/1.1 200 OK\r\n" + head + b"\r\n")
         for at in range(0, len(LONG), size):
             if gate is not None and at + size >= len(LONG):
@@ -229,12 +231,12 @@
 
 @pytest.mark.parametrize(("head", "end"), FORMS)
 @pytest.mark.parametrize("route", ["read", "pay"])
-def test_a_long_answer_is_passed_on_in_any_form_past_its_deadline(start, head, end, route):
+def test_long_response_streamed_past_deadline(start, head, end, route):
     gate = []
-    program, _, _ = start(long_answer(head=head, end=end, gate=gate))
+    program, _, _ = start(long_response(head=head, end=end, gate=gate))
     with program.connect() as sock, sock.makefile("rb") as source:
         sock.sendall(request(route, timeout=1000))
-        assert source.readline() == b"HTTP/1.1 200 OK\r\n"  # while its last part is not yet sent
+        assert source.readline() == b"HTTP/1.1 200 OK\r\n"  # before its last part is sent
         time.sleep(1.1)  # past its deadline
         gate.append(True)
         headers = b"".join(iter(source.readline, b"\r\n")).lower()
@@ -245,10 +247,10 @@
 
 
 @pytest.mark.parametrize(("head", "end"), FORMS[1:])
-def test_an_answer_of_unknown_length_that_comes_slowly_is_passed_on_past_its_deadline(start, head, end):
+def test_slow_response_of_unknown_length_streamed_past_deadline(start, head, end):
     gate = []
 
-    def slow(_, sock, asked):
+    def slow(_, sock, message):
         chunked = b"chunked" in head
         sock.sendall(b"HTTP/1.1 200 OK\r\n" + head + b"\r\n")
         for part in (LONG[:700], LONG[700:20_000]):
@@ -261,7 +263,7 @@
     program, _, _ = start(slow)
     with program.connect() as sock, sock.makefile("rb") as source:
         sock.sendall(request("pay", timeout=1000))
-        assert source.readline() == b"HTTP/1.1 200 OK\r\n"  # with 700 bytes there
+        assert source.readline() == b"HTTP/1.1 200 OK\r\n"  # after 700 bytes of the body
         time.sleep(1.1)  # past its deadline
         gate.append(True)
         while source.readline().strip():
@@ -269,13 +271,13 @@
         assert read_chunks(source) == LONG[:20_000]
 
 
-def test_a_short_answer_of_unknown_length_that_breaks_off_at_once_leaves_another_try(start):
-    begun = raw(b"HTTP/1.1 200 OK\r\n" + CHUNKED.encode() + b"\r\n" + chunk(b"part"), then_close=True)
-    program, (first, _), _ = start(begun, reply())
+def test_retry_after_short_response_of_unknown_length_breaks(start):
+    broken = raw(b"HTTP/1.1 200 OK\r\n" + CHUNKED.encode() + b"\r\n" + chunk(b"part"), then_close=True)
+    program, (first, _), _ = start(broken, reply())
     assert {program.ask(request(ident=str(n))).status for n in range(30)} == {"200"} and first.seen
 
 
-def test_a_long_answer_that_breaks_off_can_be_told(start):
+def test_client_detects_incomplete_long_response(start):
     program, _, _ = start(raw(b"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + LONG[:100_000], True))
     with program.connect() as sock, sock.makefile("rb") as source:
         sock.sendall(request())
@@ -286,8 +288,8 @@
             assert len(source.read()) <= 100_000
 
 
-def test_a_client_that_reads_slowly_gets_all(start):
-    program, _, _ = start(long_answer())
+def test_slow_reader_gets_complete_response(start):
+    program, _, _ = start(long_response())
     with socket.socket() as sock:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 8_192)
         sock.connect(program.address)
@@ -301,7 +303,7 @@
     assert got.endswith(LONG)
 
 
-def test_an_answer_that_nobody_reads_is_ended(start):
+def test_unread_response_aborted_after_stall_timeout(start):
     head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (40 * len(LONG))
     program, _, _ = start(raw(head + 40 * LONG), limits={"client_stall_s": 0.5})
     with socket.socket() as sock:
@@ -316,8 +318,8 @@
         assert got < 40 * len(LONG)
 
 
-def test_a_long_answer_goes_on_through_a_planned_restart(start):
-    program, _, _ = start(long_answer(0.15), limits={"linger_s": 0.2})
+def test_long_response_completes_during_graceful_shutdown(start):
+    program, _, _ = start(long_response(0.15), limits={"linger_s": 0.2})
     with program.connect() as sock, sock.makefile("rb") as source:
         sock.sendall(request())
         assert source.readline() == b"HTTP/1.1 200 OK\r\n"
@@ -328,7 +330,7 @@
     assert program.process.wait(5) == 0
 
 
-# Room.
+# Memory.
 
 
 def resident_mb(program):
@@ -336,50 +338,50 @@
         return int(next(line for line in file if line.startswith("VmRSS")).split()[1]) / 1024
 
 
-def test_a_crowd_half_way_through_its_bodies_keeps_within_the_memory_and_the_others_are_served(start):
+def test_incomplete_bodies_of_many_clients_stay_within_memory_budget(start):
     limits = {"memory_mb": 40, "client_first_s": 30, "client_read_s": 30}
     program, (backend,), _ = start(reply(), limits=limits)
     head = request("pay", body=bytes(65_000))[:-65_000]
     with contextlib.ExitStack() as stack:
-        crowd = [stack.enter_context(program.connect()) for _ in range(600)]
-        for number, sock in enumerate(crowd):
+        clients = [stack.enter_context(program.connect()) for _ in range(600)]
+        for number, sock in enumerate(clients):
             sock.sendall(head.replace(b"Request-Id: 1", b"Request-Id: %d" % (1000 + number)) + bytes(60_000))
         wait_for(lambda: "rejected until there is memory" in program.log())
         time.sleep(0.5)
         assert resident_mb(program) < 40
         assert program.ask(request("pay", body=bytes(30_000), ident="1")).status == "200"
         statuses = []
-        for sock in crowd:
+        for sock in clients:
             sock.settimeout(10)
             with contextlib.suppress(OSError):
                 sock.sendall(bytes(5_000))
             with sock.makefile("rb") as source:
-                answer = read_message(source)
-                statuses.append(answer.status)
-                assert answer.status == "200" or answer.headers["retry-after"] == "1"
+                response = read_message(source)
+                statuses.append(response.status)
+                assert response.status == "200" or response.headers["retry-after"] == "1"
     assert {s: statuses.count(s) > 100 for s in set(statuses)} == {"200": True, "503": True}
     assert len([r for r in backend.seen if r.headers["request-id"] != "1"]) == statuses.count("200")
 
 
-# Forms.
+# Framing.
 
 
-def test_space_behind_a_value_is_no_part_of_it(start):
+def test_trailing_space_stripped_from_header_values(start):
     program, (backend,), _ = start(raw(b"HTTP/1.1 200 OK\r\nContent-Length: 2 \t\r\nA: b \r\n\r\nok"))
-    asked = request("pay", body=b"body").replace(b"\r\n", b" \r\n").replace(b"HTTP/1.1 ", b"HTTP/1.1")
-    answer = program.ask(asked[: -len(b" \r\nbody")] + b"\r\nbody")
-    assert (answer.status, answer.body, answer.headers["a"]) == ("200", b"ok", "b")
+    message = request("pay", body=b"body").replace(b"\r\n", b" \r\n").replace(b"HTTP/1.1 ", b"HTTP/1.1")
+    response = program.ask(message[: -len(b" \r\nbody")] + b"\r\nbody")
+    assert (response.status, response.body, response.headers["a"]) == ("200", b"ok", "b")
     assert backend.seen[0].headers["request-id"] == "1" and backend.seen[0].body == b"body"
 
 
 @pytest.mark.parametrize("target", [b"http://app.svc/read/x?y=1", b"/read/x?y=1"])
-def test_the_absolute_form_of_a_target_is_the_same_target(start, target):
+def test_absolute_form_of_target_forwarded_as_path(start, target):
     program, (backend,), _ = start(reply())
     assert program.ask(request().replace(b"/read/x?y=1", target)).status == "200"
     assert backend.seen[0].path == "/read/x?y=1"
 
 
-def test_chunks_with_extensions_and_trailers_and_what_follows(start):
+def test_chunk_extensions_and_trailers_with_pipelined_requests(start):
     program, (backend,), _ = start(reply())
     chunks = b'4;a="b\\""\r\nbo\r\n\r\n2\r\ndy\r\n0;x\r\nT: v\r\nU: w\r\n\r\n'
     first = request("pay", extra=CHUNKED) + chunks
@@ -393,7 +395,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 2, 3, 5, 1000])
-def test_where_a_chunked_message_ends_is_known_wherever_it_is_split(size):
+def test_end_of_chunked_message_found_wherever_it_is_split(size):
     reader, found = Reader(False, 1000, 1000), []
     data = b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" + CHUNKS + b"GET /2 HTTP/1.1\r\n\r\n"
     for at in range(0, len(data), size):
@@ -404,7 +406,7 @@
 
 
 @pytest.mark.parametrize(
-    ("head", "keep"),
+    ("head", "keep_alive"),
     [
         (b"GET / HTTP/1.1\r\n", True),
         (b"GET / HTTP/1.1\r\nConnection: close\r\n", False),
@@ -413,17 +415,17 @@
         (b"GET / HTTP/1.0\r\nConnection: keep-alive\r\n", True),
     ],
 )
-def test_whether_a_connection_goes_on_is_as_the_head_says(head, keep):
+def test_keep_alive_as_in_message_head(head, keep_alive):
     reader = Reader(False, 1000, 1000)
     reader.feed(head + b"\r\n", 1)
-    assert reader.next().keep_alive is keep
+    assert reader.next().keep_alive is keep_alive
 
 
 @pytest.mark.parametrize(
     ("value", "length"),
     [(b"4", 4), (b"4 ", 4), (b"4, 4", None), (b"+4", None), (b"", None), (b"4 4", None), (b"9" * 30, None)],
 )
-def test_lengths(value, length):
+def test_content_length_accepted_only_if_one_number(value, length):
     reader = Reader(False, 1000, 1000)
     reader.feed(b"POST / HTTP/1.1\r\nContent-Length: " + value + b"\r\n\r\nbody", 1)
     if length is None:
@@ -433,107 +435,110 @@
         assert len(reader.next().body) == length
 
 
-# The decisions.
+# Decisions of the balancer.
 
 
-def sent(made, host, ident=1, at=NOW, grace=8000):
-    made.on_request(at, ident, 0, 0, grace, False)
+def send(balancer, host, ident=1, at=NOW, timeout=8000):
+    """Starts a request and returns the backends to which an attempt was sent."""
+    balancer.on_request(at, ident, 0, 0, timeout, False)
     return [call[2] for call in host.take("send")]
 
 
-def test_a_body_that_has_gone_out_leaves_one_try():
-    made, host = node([listed("a"), listed("b")])
-    assert sent(made, host)
-    made.on_body_forwarded(NOW + 10, 1, 8000, False)
-    made.on_attempt_ended(NOW + 20, 1, 0, Outcome.CONNECT_FAILED, 20, False, None)
-    assert host.take("send", "shed", "fail") == [("shed", 1, 0)]  # nothing can have run
+def test_no_retry_after_body_is_forwarded():
+    balancer, host = node([listed("a"), listed("b")])
+    assert send(balancer, host)
+    balancer.on_body_forwarded(NOW + 10, 1, 8000, False)
+    balancer.on_attempt_ended(NOW + 20, 1, 0, Outcome.CONNECT_FAILED, 20, False, None)
+    assert host.take("send", "shed", "fail") == [("shed", 1, 0)]  # the request cannot have run
 
 
-def test_before_that_another_try_is_made():
-    made, host = node([listed("a"), listed("b")])
-    assert sent(made, host)
-    made.on_attempt_ended(NOW + 20, 1, 0, Outcome.CONNECT_FAILED, 20, False, None)
+def test_retry_before_body_is_forwarded():
+    balancer, host = node([listed("a"), listed("b")])
+    assert send(balancer, host)
+    balancer.on_attempt_ended(NOW + 20, 1, 0, Outcome.CONNECT_FAILED, 20, False, None)
     assert len(host.take("send")) == 1
 
 
-def test_a_body_under_way_is_no_work_and_no_silence_until_it_is_whole():
-    made, host = node([listed("a")])
-    assert sent(made, host, grace=60_000)
-    backend = made.backends["a"]
-    made.on_body_forwarded(NOW + 10, 1, 60_000, False)
+def test_attempt_not_counted_while_body_is_incomplete():
+    balancer, host = node([listed("a")])
+    assert send(balancer, host, timeout=60_000)
+    backend = balancer.backends["a"]
+    balancer.on_body_forwarded(NOW + 10, 1, 60_000, False)
     assert not backend.open_attempts
-    made.on_wake(NOW + 9000, "due")  # past the time at which silence counts, and the first deadline
+    balancer.on_wake(
+        NOW + 9000, "due"
+    )  # after the time from which silence counts as failure, and the first deadline
     assert backend.outlier.failure_rate == 0.0 and not host.take("shed", "fail")
-    made.on_body_forwarded(NOW + 20_000, 1, 8000, True)
+    balancer.on_body_forwarded(NOW + 20_000, 1, 8000, True)
     assert len(backend.open_attempts) == 1
-    made.on_attempt_ended(NOW + 20_300, 1, 0, Outcome.COMPLETED, 300, True, None)
-    assert not backend.open_attempts and not made.requests
+    balancer.on_attempt_ended(NOW + 20_300, 1, 0, Outcome.COMPLETED, 300, True, None)
+    assert not backend.open_attempts and not balancer.requests
     assert backend.service_time_sum == 300
 
 
-def test_after_a_long_body_its_own_deadline_counts():
-    made, host = node([listed("a")])
-    assert sent(made, host)
-    made.on_body_forwarded(NOW + 10, 1, 60_000, False)
-    made.on_body_forwarded(NOW + 20_000, 1, 8000, True)
-    made.on_wake(NOW + 28_000, "due")
+def test_deadline_restarts_when_long_body_is_complete():
+    balancer, host = node([listed("a")])
+    assert send(balancer, host)
+    balancer.on_body_forwarded(NOW + 10, 1, 60_000, False)
+    balancer.on_body_forwarded(NOW + 20_000, 1, 8000, True)
+    balancer.on_wake(NOW + 28_000, "due")
     assert host.take("shed", "fail") == [("shed", 1, 0)]
 
 
-def test_an_answer_passed_on_counts_when_it_begins_and_its_breaking_off_as_a_failure():
-    made, host = node([listed("a"), listed("b")])
-    [name] = sent(made, host)
-    backend = made.backends[name]
-    made.on_response_started(NOW + 200, 1, 0)
+def test_streamed_response_measured_at_start_and_reset_counts_as_failure():
+    balancer, host = node([listed("a"), listed("b")])
+    [name] = send(balancer, host)
+    backend = balancer.backends[name]
+    balancer.on_response_started(NOW + 200, 1, 0)
     assert (
         backend.service_time_sum == 200 and not backend.open_attempts and backend.outlier.failure_rate == 0.0
     )
-    made.on_attempt_ended(NOW + 90_000, 1, 0, Outcome.RESET, 90_000, True, None)
+    balancer.on_attempt_ended(NOW + 90_000, 1, 0, Outcome.RESET, 90_000, True, None)
     assert backend.outlier.failure_rate > 0.0 and backend.service_time_sum == 200
-    assert not made.requests and not host.take("send", "shed", "fail")
+    assert not balancer.requests and not host.take("send", "shed", "fail")
 
 
-def test_on_a_streaming_route_a_try_counts_to_its_end():
-    made, host = node([listed("a")], routes__0__streaming=True)
-    sent(made, host)
-    made.on_response_started(NOW + 200, 1, 0)
-    backend = made.backends["a"]
+def test_attempt_on_streaming_route_measured_to_its_end():
+    balancer, host = node([listed("a")], routes__0__streaming=True)
+    send(balancer, host)
+    balancer.on_response_started(NOW + 200, 1, 0)
+    backend = balancer.backends["a"]
     assert len(backend.open_attempts) == 1 and not backend.service_time_sum
-    made.on_attempt_ended(NOW + 9_000, 1, 0, Outcome.COMPLETED, 9_000, True, None)
+    balancer.on_attempt_ended(NOW + 9_000, 1, 0, Outcome.COMPLETED, 9_000, True, None)
     assert not backend.open_attempts and backend.service_time_sum == 9_000
 
 
-def test_a_group_that_backends_do_not_have_allows_no_other_backend():
-    made, host = node([listed("a"), listed("b")], semantics="deduplicated", routes__0__group="shelf")
-    sent(made, host)
-    made.on_attempt_ended(NOW + 20, 1, 0, Outcome.RESET, 20, False, None)
+def test_no_retry_when_group_of_route_is_unknown():
+    balancer, host = node([listed("a"), listed("b")], semantics="deduplicated", routes__0__group="shelf")
+    send(balancer, host)
+    balancer.on_attempt_ended(NOW + 20, 1, 0, Outcome.RESET, 20, False, None)
     assert host.take("send", "shed", "fail") == [("fail", 1)]
 
 
-def test_a_long_answer_that_ends_well_is_measured_once():
-    made, host = node([listed("a")])
-    sent(made, host)
-    made.on_response_started(NOW + 200, 1, 0)
-    made.on_attempt_ended(NOW + 90_000, 1, 0, Outcome.COMPLETED, 90_000, True, None)
-    assert (made.backends["a"].service_time_sum, made.backends["a"].profile.count) == (200, 1)
+def test_completed_long_response_measured_once():
+    balancer, host = node([listed("a")])
+    send(balancer, host)
+    balancer.on_response_started(NOW + 200, 1, 0)
+    balancer.on_attempt_ended(NOW + 90_000, 1, 0, Outcome.COMPLETED, 90_000, True, None)
+    assert (balancer.backends["a"].service_time_sum, balancer.backends["a"].profile.count) == (200, 1)
 
 
 @pytest.mark.parametrize(
-    ("slots", "answered", "used"),
+    ("count", "last_response_at", "used"),
     [
-        (8.0, NOW - SECOND, True),  # nobody has answered for a second
-        (8.0, NOW, False),  # it is known to be slow
-        (1.0, NOW, True),  # its first answer was slow, as first ones are
+        (8.0, NOW - SECOND, True),  # the backend has not answered for a second
+        (8.0, NOW, False),  # the backend is known to be slow
+        (1.0, NOW, True),  # only the first response was slow, as first responses are
     ],
 )
-def test_an_idle_backend_is_used_though_its_first_answers_were_slow(slots, answered, used):
+def test_idle_backend_used_though_first_responses_were_slow(count, last_response_at, used):
     settings = {"policy_limits__probes": True, "feedback__fields": ["inflight"], "prices__probe": 0.001}
-    made, host = node([listed("a")], **settings)
-    backend = made.backends["a"]
+    balancer, host = node([listed("a")], **settings)
+    backend = balancer.backends["a"]
     backend.service_time_sum, backend.service_time_count = (
-        slots * 20_000.0,
-        slots,
-    )  # two seconds each, over the objective of 3000
-    made.solver.solve(NOW, made.demand)
-    backend.reported_in_flight, backend.reported_at, backend.last_response_at = 0.0, NOW, answered
-    assert sent(made, host) == ["a"] * used
+        count * 20_000.0,
+        count,
+    )  # 2 s for each response, above the latency objective of 0.3 s
+    balancer.solver.solve(NOW, balancer.demand)
+    backend.reported_in_flight, backend.reported_at, backend.last_response_at = 0.0, NOW, last_response_at
+    assert send(balancer, host) == ["a"] * used
