--- a/basalthoist/net/clients/http_connection.py
+++ b/basalthoist/net/clients/http_connection.py
@@ -40,9 +40,7 @@
         self.last_progress_at: int = self.connected_at  # set by `record_progress`
         # State of reading.
         self.reading_paused: bool = False
-        self.pipeline_full: bool = (
-            False  # the limit on bytes buffered behind the request in progress is exceeded
-        )
+        self.pipeline_full: bool = False  # too many bytes are buffered behind the request in progress
         self.body_paused: bool = False  # the backend takes no more of the request body for now
         # State of writing.
         self.write_buffer_full: bool = False
--- a/basalthoist/net/dispatcher.py
+++ b/basalthoist/net/dispatcher.py
@@ -23,9 +23,8 @@
 
 # Response headers that backends send to the node; they are not forwarded to clients.
 NODE_HEADERS = frozenset((b"server-load", b"not-started"))
-OVERDUE_ANSWER_DELAY = (
-    20  # tenths of a millisecond after its deadline, when a request is answered in any case
-)
+# How long after its deadline a request is answered in any case, in tenths of a millisecond.
+OVERDUE_ANSWER_DELAY = 20
 MAX_REPORT_BYTES = 256  # at the start of a health check's body, in which a load report is looked for
 
 
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -465,9 +465,8 @@
     backend = balancer.backends["a"]
     balancer.on_body_forwarded(NOW + 10, 1, 60_000, False)
     assert not backend.open_attempts
-    balancer.on_wake(
-        NOW + 9000, "due"
-    )  # after the time from which silence counts as failure, and the first deadline
+    # After the first deadline, and after the time from which silence counts as a failure.
+    balancer.on_wake(NOW + 9000, "due")
     assert backend.outlier.failure_rate == 0.0 and not host.take("shed", "fail")
     balancer.on_body_forwarded(NOW + 20_000, 1, 8000, True)
     assert len(backend.open_attempts) == 1
@@ -535,10 +534,8 @@
     settings = {"policy_limits__probes": True, "feedback__fields": ["inflight"], "prices__probe": 0.001}
     balancer, host = node([listed("a")], **settings)
     backend = balancer.backends["a"]
-    backend.service_time_sum, backend.service_time_count = (
-        count * 20_000.0,
-        count,
-    )  # 2 s for each response, above the latency objective of 0.3 s
+    # 2 s for each response, above the latency objective of 0.3 s.
+    backend.service_time_sum, backend.service_time_count = (count * 20_000.0, count)
     balancer.solver.solve(NOW, balancer.demand)
     backend.reported_in_flight, backend.reported_at, backend.last_response_at = 0.0, NOW, last_response_at
     assert send(balancer, host) == ["a"] * used
