--- a/basalthoist/net/framing.py
+++ b/basalthoist/net/framing.py
@@ -179,7 +179,7 @@
 
     # Called by connections.
 
-    def came_at(self) -> int:
+    def last_arrival(self) -> int:
         """Returns when the last byte of the message that is being read arrived, as far as it has."""
         return self.arrivals.arrival_of_last_byte(len(self.pending))
 
@@ -221,7 +221,7 @@
     def finish(self) -> Message:
         """Returns the message that is complete and resets the state for the next one."""
         message = self.message
-        message.came_at = self.came_at()
+        message.came_at = self.last_arrival()
         if self.body is not None:
             message.body = self.body
         self.restart()
@@ -286,7 +286,7 @@
 
         Where there is no callback, raises BadMessage if `required`, else goes on buffering.
         """
-        self.message.came_at = self.came_at()
+        self.message.came_at = self.last_arrival()
         self.body_sink = self.on_long_body and self.on_long_body(self.message, self.length())
         if self.body_sink is None and required:
             raise BadMessage(413, f"body over {self.body_bytes} bytes cannot be streamed")
--- a/basalthoist/net/uploads.py
+++ b/basalthoist/net/uploads.py
@@ -25,9 +25,7 @@
         self.buffer: bytearray = bytearray()
         self.complete: bool = False
         self.connection: Connection | None = None
-        self.consumed: bool = (
-            False  # bytes have been written and are no longer buffered: no retry is possible
-        )
+        self.consumed: bool = False  # bytes were written and dropped from the buffer, so no retry is possible
         # Of the request, counted from the last byte of the body, in tenths of a millisecond.
         self.timeout: int = 0
         self.on_forwarding_started: Callable[[], None] = lambda: None
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -426,10 +426,8 @@
         ([member("s-0", first)], b"1"),
         ([member("s-0", first, "draining"), member("s-1", second)], b"2"),
         ([member("s-0", first), member("s-1", second, "gone")], b"1"),
-        (
-            [{"id": "odd", "host_port": "nowhere"}, member("s-0", second)],
-            b"2",
-        ),  # s-0 has moved to another address
+        # s-0 has moved to another address.
+        ([{"id": "odd", "host_port": "nowhere"}, member("s-0", second)], b"2"),
     ):
         discovery.tell(*members)
         wait_for(lambda expected=body: {program.ask(request()).body for _ in range(4)} == {expected})
@@ -462,7 +460,7 @@
 
 
 def test_large_fleet_spreads_polls_when_discovery_is_on_request(start):
-    """Guards against polls at the same time: forty nodes overloaded discovery until the end of the day."""
+    """Guards against polls at once: forty nodes kept discovery busy with rejections until the end of the day."""
     large_fleet = {"discovery": "on_request", "siblings": 40}
     program, _, discovery = start(
         reply(), revision=41, settings_more=large_fleet, limits={"watch_line_s": 100.0}
