--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -460,7 +460,7 @@
 
 
 def test_large_fleet_spreads_polls_when_discovery_is_on_request(start):
-    """Guards against polls at once: forty nodes kept discovery busy with rejections until the end of the day."""
+    """Guards against polls at once: forty nodes kept discovery busy with rejections until the day ended."""
     large_fleet = {"discovery": "on_request", "siblings": 40}
     program, _, discovery = start(
         reply(), revision=41, settings_more=large_fleet, limits={"watch_line_s": 100.0}
