--- a/basalthoist/net/listener.py
+++ b/basalthoist/net/listener.py
@@ -28,7 +28,7 @@
 class Listener:
     """Accepts connections itself instead of through the loop's server.
 
-    Where accept fails, connections thus wait in the backlog and no CPU time is spent on retries in a row.
+    Where accept fails, connections thus wait in the backlog and no CPU time is spent on constant retries.
     `make_protocol` is called for each connection; `on_dropped` is called after `make_protocol` if the
     connection could not be set up. While `is_full` returns True, nothing is accepted.
     """
@@ -69,7 +69,7 @@
             except BlockingIOError:
                 return True
             except (InterruptedError, ConnectionAbortedError):
-                continue  # this client has disconnected; others may wait behind it
+                continue  # a signal came, or this client has disconnected; others may wait behind it
             except OSError as error:
                 # accept raises many transient errors, such as EMFILE, ENFILE, ENOBUFS and the network errors
                 # of a broken connection. The connections that wait are accepted later.
--- a/basalthoist/net/service.py
+++ b/basalthoist/net/service.py
@@ -153,7 +153,7 @@
         if self.fleet is not None:
             self.start_task(self.join_fleet())
         if has_predecessor:
-            # Until then the predecessor accepts the clients' connections.
+            # Until this process is ready, the predecessor accepts the clients' connections.
             await self.first_ready
         return await self.bind_with_retries(lambda: self.listen(inherited))
 
