--- a/basalthoist/experiments/cluster/rig.py
+++ b/basalthoist/experiments/cluster/rig.py
@@ -215,7 +215,7 @@
         more = 1 if begins else -1
         for number in who:
             if event.kind == "hot":
-                self.clients[number].jump(event.times if begins else 1.0)
+                self.clients[number].set_rate_factor(event.times if begins else 1.0)
             elif event.kind == "fails":
                 self.failing[event.backend, number] += more
             else:
--- a/basalthoist/experiments/loopback.py
+++ b/basalthoist/experiments/loopback.py
@@ -128,7 +128,7 @@
         self.value = self.kept = 0.0
         self.last = 0
 
-    def jump(self, factor: float) -> None:
+    def set_rate_factor(self, factor: float) -> None:
         self.factor = factor
 
     async def run(self) -> None:
--- a/basalthoist/experiments/protocols.py
+++ b/basalthoist/experiments/protocols.py
@@ -1,4 +1,4 @@
-"""The same fleet and clients over HTTP and over JSON-RPC, in turns, with a jump in traffic in the middle."""
+"""The same fleet and clients over HTTP and over JSON-RPC, in turns, with a set_rate_factor in traffic in the middle."""
 
 import asyncio
 import json
@@ -97,8 +97,8 @@
         kind, where = (JsonClients, front) if json_rpc else (Clients, address)
         await asyncio.sleep(0.1)
         clients, loop = kind(scenario, [where], seconds), asyncio.get_running_loop()
-        loop.call_later(seconds / 3, clients.jump, 2.0)
-        loop.call_later(2 * seconds / 3, clients.jump, 1.0)
+        loop.call_later(seconds / 3, clients.set_rate_factor, 2.0)
+        loop.call_later(2 * seconds / 3, clients.set_rate_factor, 1.0)
         await clients.run()
         if process.returncode is not None:
             raise RuntimeError(f"the node ended with {process.returncode}")
