--- a/basalthoist/experiments/cold_start.py
+++ b/basalthoist/experiments/cold_start.py
@@ -22,7 +22,7 @@
 from .loopback import (
     Clients,
     DiscoveryAgent,
-    Script,
+    ScriptedBackend,
     document_for,
     end_nodes,
     members_of,
@@ -69,7 +69,7 @@
     return row_of("emulated", kind, case, seed, ramp.worst(), ramp.worst(True), got)
 
 
-class ColdScript(Script):
+class ColdScript(ScriptedBackend):
     """Runs at the share of its speed that its ramp has come to, and keeps what came: time, node, work."""
 
     def __init__(self, scenario, number: int, runs: dict, terms=None) -> None:
--- a/basalthoist/experiments/protocols.py
+++ b/basalthoist/experiments/protocols.py
@@ -11,7 +11,7 @@
 
 from .loopback import (
     Clients,
-    Script,
+    ScriptedBackend,
     document_for,
     end_nodes,
     members_of,
@@ -46,7 +46,7 @@
                 self.script.take(self, b"=%d" % params["work"], headers | {b"id": call["id"]})
 
 
-class JsonScript(Script):
+class JsonScript(ScriptedBackend):
     protocol = JsonBox
 
     def say(self, connection: JsonBox, ident: str, error: dict | None = None) -> None:
@@ -80,7 +80,7 @@
 
 async def play_on(json_rpc: bool, scenario: Scenario, seconds: float, folder: Path) -> dict:
     runs: dict[str, int] = {}
-    make = JsonScript if json_rpc else Script
+    make = JsonScript if json_rpc else ScriptedBackend
     scripts = [make(scenario, number, runs) for number in range(scenario.backends.count)]
     members = await members_of(scripts)
     discovery = await open_discovery(members)
