--- a/basalthoist/commands/fleet.py
+++ b/basalthoist/commands/fleet.py
@@ -124,7 +124,7 @@
         broken += 1
         timeline = msgspec.convert(result["timeline"], Timeline)
         click.echo(f"seed {timeline.seed} breaks: {result['broken'][0]}")
-        timeline = searching.least(timeline, searching.broken_by, click.echo)
+        timeline = searching.least(timeline, searching.find_violations, click.echo)
         path = save_finding(into, "timeline", timeline)
         click.echo(f"{path}: {len(timeline.events)} events left")
     if folder is not None:
