--- a/basalthoist/experiments/cluster/cost.py
+++ b/basalthoist/experiments/cluster/cost.py
@@ -82,7 +82,7 @@
         return lambda *what: None
 
 
-def on_the_path(times: int = 200_000) -> float:
+def view_check_us(times: int = 200_000) -> float:
     """Microseconds that an exchange spends on asking whether its node's view still counts."""
     replica = Replica(Nobody(), "n0", ["n0", "n1", "n2"], ["n0", "n1", "n2"], USUAL, Lcg(1), boot_time_now())
     began = time.process_time()
