--- a/basalthoist/commands/fleet.py
+++ b/basalthoist/commands/fleet.py
@@ -87,7 +87,7 @@
     from basalthoist.experiments.cluster import cost
 
     click.echo(f"an exchange asks for {cost.view_check_us():.2f} us whether its node may act")
-    click.echo(f"a change of 4096 verdicts takes {cost.change_ms():.1f} ms at each node")
+    click.echo(f"a change of 4096 verdicts takes {cost.verdict_change_ms():.1f} ms at each node")
     for nodes in COST_SIZES:
         leader, other = cost.words(nodes)
         rates = f"{leader:.0f} bytes a second, the others {other:.0f} each"
--- a/basalthoist/experiments/cluster/cost.py
+++ b/basalthoist/experiments/cluster/cost.py
@@ -65,7 +65,7 @@
     return mine / seconds, sum(fleet.bytes.values()) / (nodes - 1) / seconds
 
 
-def change_ms(verdicts: int = 4096, times: int = 20) -> float:
+def verdict_change_ms(verdicts: int = 4096, times: int = 20) -> float:
     """Processor time of one change of a set of so many verdicts, at each node, in ms."""
     many = {("ban", f"s-{i:08x}"): Verdict("ban", f"s-{i:08x}", who="n12", why="operator")
             for i in range(verdicts)}  # fmt: skip
