--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -26,7 +26,7 @@
 )
 from test_endings import CROWD, Late, asks, connecting_to, leave, patient, seen_of, standing_still
 from test_gateway import Site, spills
-from test_jsonrpc import Box, call, echo
+from test_jsonrpc import JsonRpcBackend, call, echo
 
 from basalthoist.configuration import decode, load_gateway
 from basalthoist.net.clients.front_end import FrontEnd
@@ -278,7 +278,7 @@
     running = []
 
     def start(*made_of, cancel=True):
-        found = [b if isinstance(b, StandIn) else Box(b) for b in made_of]
+        found = [b if isinstance(b, StandIn) else JsonRpcBackend(b) for b in made_of]
         members = [member(f"s-{n}", box) for n, box in enumerate(found)]
         discovery, listen = DiscoveryStandIn(members), own_address()
         path = tmp_path / "jsonrpc.toml"
