--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -35,7 +35,7 @@
     silent,
     wait_for,
 )
-from test_gateway import Site, spills
+from test_gateway import Site, wait_for_spill_offer
 
 from basalthoist.addresses import address_of
 
@@ -552,7 +552,7 @@
         a.start(other, settings=patient(False))
         wait_for(lambda: a.discovery.watches and not a.says()["hot"])
         a.lose()
-        spills(a)
+        wait_for_spill_offer(a)
 
         def spilled(ident):
             """Before there is a way to the other site it is refused."""
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -25,7 +25,7 @@
     wait_for,
 )
 from test_endings import CROWD, Late, asks, connecting_to, leave, patient, seen_of, standing_still
-from test_gateway import Site, spills
+from test_gateway import Site, wait_for_spill_offer
 from test_jsonrpc import JsonRpcBackend, call, echo
 
 from basalthoist.configuration import decode, load_gateway
@@ -252,7 +252,7 @@
         for one in (a, b):
             wait_for(lambda one=one: one.discovery.watches and not one.says()["hot"])
         a.lose()
-        spills(a)
+        wait_for_spill_offer(a)
 
         def spilled():
             return a.program.ask(request(timeout=8000, ident=f"try-{time.monotonic()}")).body == b"b"
--- a/tests/test_wire_forms.py
+++ b/tests/test_wire_forms.py
@@ -526,7 +526,7 @@
 
 
 def test_marks_of_a_spilled_request_stay():
-    """Guards against a site of another version that does not know a spilled request and spills it again."""
+    """Guards against a site of another version that does not know a spilled request and wait_for_spill_offer it again."""
     sites = SimpleNamespace(round_trip_to=lambda gateway: 30)
     at_west = SimpleNamespace(own_site="west", links={"site:east:0": "east/0"}, sites=sites)
     marks = b"Site-Hops: 1\r\nSite-From: west\r\n"
