--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -25,8 +25,8 @@
     wait_for,
 )
 from test_endings import CROWD, Late, asks, connecting_to, leave, patient, seen_of, standing_still
-from test_gateway import Site, spills
-from test_jsonrpc import Box, call, echo
+from test_gateway import Site, wait_for_spill_offer
+from test_jsonrpc import JsonRpcBackend, call, echo
 
 from basalthoist.configuration import decode, load_gateway
 from basalthoist.net.clients.front_end import FrontEnd
@@ -252,7 +252,7 @@
         for one in (a, b):
             wait_for(lambda one=one: one.discovery.watches and not one.says()["hot"])
         a.lose()
-        spills(a)
+        wait_for_spill_offer(a)
 
         def spilled():
             return a.program.ask(request(timeout=8000, ident=f"try-{time.monotonic()}")).body == b"b"
@@ -278,7 +278,7 @@
     running = []
 
     def start(*made_of, cancel=True):
-        found = [b if isinstance(b, StandIn) else Box(b) for b in made_of]
+        found = [b if isinstance(b, StandIn) else JsonRpcBackend(b) for b in made_of]
         members = [member(f"s-{n}", box) for n, box in enumerate(found)]
         discovery, listen = DiscoveryStandIn(members), own_address()
         path = tmp_path / "jsonrpc.toml"
