--- a/basalthoist/fleet/bounds.py
+++ b/basalthoist/fleet/bounds.py
@@ -5,7 +5,7 @@
 
 from typing import NamedTuple
 
-LONG_AGO = -(1 << 60)  # before anything that happens
+DISTANT_PAST = -(1 << 60)  # before anything that happens
 
 
 class Bounds(NamedTuple):
--- a/basalthoist/fleet/election.py
+++ b/basalthoist/fleet/election.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from .bounds import LONG_AGO, Bounds
+from .bounds import DISTANT_PAST, Bounds
 from .lease import Promises, next_term
 from .verdicts import VerdictSet
 
@@ -34,14 +34,14 @@
         self.promises: Promises = Promises(bounds, len(voters))
         self.votes: dict[str, VoterState] = {}
         self.began_at: int = now
-        self.requested_at: int = LONG_AGO
+        self.requested_at: int = DISTANT_PAST
 
     def start(self, now: int, above: int) -> None:
         """Stands for the next term of its own above that one and all that it has heard of."""
         above = max(above, self.highest_seen, self.term)
         self.term = next_term(above, self.voters.index(self.me), len(self.voters))
         self.began_at = now
-        self.requested_at = LONG_AGO
+        self.requested_at = DISTANT_PAST
         self.votes = {}
         self.fetched = None
         self.promises = Promises(self.bounds, len(self.voters))
--- a/basalthoist/fleet/leader.py
+++ b/basalthoist/fleet/leader.py
@@ -1,6 +1,6 @@
 """The lease holder's work: proposals, commits, heartbeats, and what it knows of its peers."""
 
-from .bounds import LONG_AGO, Bounds
+from .bounds import DISTANT_PAST, Bounds
 from .host import ReplicaHost
 from .lease import Promises, Voter, own_voter
 from .operator_calls import UNTIL_IN_TOUCH, CallsInProgress
@@ -20,8 +20,8 @@
         self.intact: bool = False  # it has forgotten nothing that it acknowledged
         self.reply_sent_at: int = 0  # of its last reply, by its own clock; 0: none has come
         self.confirmed: bool = False  # whether that reply shows the committed version
-        self.view_until: int = LONG_AGO  # it may act on its view until then
-        self.heard_at: int = LONG_AGO
+        self.view_until: int = DISTANT_PAST  # it may act on its view until then
+        self.heard_at: int = DISTANT_PAST
         self.outliers: list[str] = []
 
 
@@ -53,8 +53,8 @@
         self.promises: Promises = Promises(bounds, len(voters))
         self.peers: dict[str, Peer] = {}
         self.committed: int = -1  # commit index; -1: not known yet in this term
-        self.began_at: int = LONG_AGO
-        self.heartbeat_at: int = LONG_AGO
+        self.began_at: int = DISTANT_PAST
+        self.heartbeat_at: int = DISTANT_PAST
         self.queue: list[Verdict] = []  # changes that wait for the next proposal
         self.granter: QuotaLeaseGranter | None = None
 
@@ -64,7 +64,7 @@
         self.promises = promises
         own_voter(self.voter).intact = True
         self.began_at = now
-        self.heartbeat_at = LONG_AGO
+        self.heartbeat_at = DISTANT_PAST
         self.committed = -1
         self.peers = {name: Peer() for name in self.nodes if name != self.me}
         self.queue = []
--- a/basalthoist/fleet/operator_calls.py
+++ b/basalthoist/fleet/operator_calls.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple, Protocol
 
-from .bounds import LONG_AGO, Bounds
+from .bounds import DISTANT_PAST, Bounds
 from .host import ReplicaHost
 from .replication import UNITS_PER_SECOND, Replication
 from .verdicts import Verdict
@@ -55,7 +55,7 @@
 
     def add(self, now: int, call_id: int, changes: list[Verdict]) -> None:
         """Takes an operator's call."""
-        self.calls[call_id] = LocalCall(changes, now + self.bounds.call_timeout, LONG_AGO, False)
+        self.calls[call_id] = LocalCall(changes, now + self.bounds.call_timeout, DISTANT_PAST, False)
 
     def is_overdue(self, now: int, call_id: int) -> bool:
         """Whether no answer is waited for any longer."""
--- a/basalthoist/fleet/outlier_reports.py
+++ b/basalthoist/fleet/outlier_reports.py
@@ -10,7 +10,7 @@
 from typing import Protocol
 
 from .bounds import Bounds
-from .verdicts import BAN, SICK, Verdict, VerdictSet
+from .verdicts import BAN, OUTLIER, Verdict, VerdictSet
 
 MIN_OWN_FAILURE_RATE = 0.3  # of a node's latest attempts there; two failures in a row are 0.36
 MAX_REPORTED = 16  # backends of one node: a heartbeat's reply is one datagram
@@ -60,10 +60,10 @@
     counts: it is of a node that does not yet apply the set without the verdict.
     """
     node_counts = Counter(name for names in reports.values() for name in set(names))
-    ejected = sum(kind == SICK for kind, _ in verdicts.verdicts)
+    ejected = sum(kind == OUTLIER for kind, _ in verdicts.verdicts)
     found: list[Verdict] = []
     for name, nodes in sorted(node_counts.items(), key=lambda pair: (-pair[1], pair[0])):
-        is_known = (SICK, name) in verdicts.verdicts or (BAN, name) in verdicts.verdicts
+        is_known = (OUTLIER, name) in verdicts.verdicts or (BAN, name) in verdicts.verdicts
         # Guards against a fault of all backends, or of what lies before them, that would empty the fleet.
         exceeds_part = (ejected + len(found) + 1) > MAX_EJECTED_PART * backend_count
         if nodes < bounds.outlier_quorum or is_known or exceeds_part:
@@ -71,6 +71,6 @@
         reporting = sorted(node for node, names in reports.items() if name in names)
         who = " ".join(reporting[:MAX_NAMED_NODES])
         found.append(
-            Verdict(SICK, name, who=who, why=f"put out by {nodes}", lasts_s=bounds.outlier_ejection_s)
+            Verdict(OUTLIER, name, who=who, why=f"put out by {nodes}", lasts_s=bounds.outlier_ejection_s)
         )
     return found
--- a/basalthoist/fleet/replica.py
+++ b/basalthoist/fleet/replica.py
@@ -8,7 +8,7 @@
 
 from basalthoist.decisions.random_numbers import Lcg
 
-from .bounds import LONG_AGO, Bounds
+from .bounds import DISTANT_PAST, Bounds
 from .election import Election, VoterState, owns_term
 from .host import ReplicaHost
 from .leader import Leader
@@ -33,7 +33,7 @@
 )
 
 NOT_STORED = -1  # in place of a version in a heartbeat's reply
-ANSWERS_NO_HEARTBEAT = LONG_AGO  # in place of a heartbeat's time in a reply
+ANSWERS_NO_HEARTBEAT = DISTANT_PAST  # in place of a heartbeat's time in a reply
 
 
 class Role(Enum):
@@ -73,7 +73,7 @@
         self.leader_heard_at: int = now
         self.role: Role = FOLLOWER
         self.election_timeout: int = self.draw_election_timeout()
-        self.view_confirmed_at: int = LONG_AGO  # this node's send of the reply that was confirmed last
+        self.view_confirmed_at: int = DISTANT_PAST  # this node's send of the reply that was confirmed last
         self.holder: QuotaLeaseHolder | None = holder
         self.election: Election = Election(bounds, me, voters, now)
         self.sets: Replication = Replication(host, holder, hint)
@@ -99,7 +99,7 @@
         """Whether the view is too old to act on in a strict fleet."""
         return self.view_age(now) > self.bounds.stale
 
-    def may_forward(self, now: int) -> bool:
+    def may_forward_requests(self, now: int) -> bool:
         """Whether this node may forward requests."""
         return not (self.bounds.strict and self.is_stale(now))
 
@@ -290,7 +290,7 @@
 
     def view_text(self, now: int) -> str:
         """How recent the view is, for operators."""
-        if self.view_confirmed_at == LONG_AGO:
+        if self.view_confirmed_at == DISTANT_PAST:
             return "never confirmed"
         state = "in touch" if self.is_fresh(now) else "stale" if self.is_stale(now) else "out of touch"
         return f"{state}, confirmed {self.view_age(now) / UNITS_PER_SECOND:.1f} s ago"
--- a/basalthoist/fleet/verdicts.py
+++ b/basalthoist/fleet/verdicts.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
-from .bounds import LONG_AGO
+from .bounds import DISTANT_PAST
 
 VerdictKind = Literal["ban", "sick", "customer", "quota", "head"]
 BAN: VerdictKind = "ban"  # an operator has taken the backend out
-SICK: VerdictKind = "sick"  # several nodes have detected the backend as an outlier
+OUTLIER: VerdictKind = "sick"  # several nodes have detected the backend as an outlier
 CUSTOMER: VerdictKind = "customer"  # an operator has shut the tenant out
 QUOTA: VerdictKind = "quota"  # an operator has set the tenant's rate
 HEAD: VerdictKind = "head"  # of the catalogue, see docs/distribution.md
@@ -162,7 +162,7 @@
         self.source: str = source
         self.chunks: dict[int, bytes] = {}
         self.count: int = 0  # 0: not known yet
-        self.requested_at: int = LONG_AGO
+        self.requested_at: int = DISTANT_PAST
 
     def missing(self) -> list[int]:
         """The chunks to ask for next."""
--- a/basalthoist/net/runtime/descriptors.py
+++ b/basalthoist/net/runtime/descriptors.py
@@ -59,9 +59,9 @@
         self.own: int = own
         self.used: int = 0
         self.reclaimers: list[Reclaimer] = []
-        self.share_among(1)
+        self.set_process_count(1)
 
-    def share_among(self, processes: int) -> None:
+    def set_process_count(self, processes: int) -> None:
         """So many processes share the budget from now on; beyond this one's part idle connections close."""
         # Guards against a small budget of which the processes themselves need more than was kept back.
         spare = self.reserve - self.own * processes
--- a/basalthoist/net/runtime/memory_budget.py
+++ b/basalthoist/net/runtime/memory_budget.py
@@ -28,7 +28,7 @@
         """Once the process is ready: what it takes by then stays."""
         self.baseline = resident_bytes()
 
-    def share_among(self, processes: int) -> None:
+    def set_process_count(self, processes: int) -> None:
         """So many processes use the memory from now on."""
         self.processes = processes
 
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -10,7 +10,7 @@
 from basalthoist.emulator.replica_faults import FaultInjector
 from basalthoist.emulator.replicas import Broken, Replicas
 from basalthoist.fleet import lease, replica
-from basalthoist.fleet.bounds import LONG_AGO, Bounds
+from basalthoist.fleet.bounds import DISTANT_PAST, Bounds
 from basalthoist.fleet.leader import Leader
 from basalthoist.fleet.outlier_reports import claimed_outliers
 from basalthoist.fleet.replica import Replica, Role
@@ -205,7 +205,7 @@
     """A new leader does not wait out what the one before may have confirmed."""
 
     def may_apply_older(self, now, version):
-        self.began_at, began_at = LONG_AGO, self.began_at
+        self.began_at, began_at = DISTANT_PAST, self.began_at
         try:
             return super().may_apply_older(now, version)
         finally:
@@ -224,8 +224,8 @@
 class Unbounded(Replica):
     """It never asks for how long it has been out of touch."""
 
-    def may_forward(self, now):
-        return self.view_confirmed_at != LONG_AGO
+    def may_forward_requests(self, now):
+        return self.view_confirmed_at != DISTANT_PAST
 
 
 class Undated(Bounds):
--- a/tests/test_wire_forms.py
+++ b/tests/test_wire_forms.py
@@ -231,7 +231,7 @@
     stream.TenantFilter: "version bits hashes",
     stream.TenantDemand: "requested released",
     stream.TenantUpdate: "version entries",
-    stream.Heartbeat: "sent_at version digest oldest_version nodes nodes_out pending_version term "
+    stream.Heartbeat: "sent_at version digest oldest_version nodes inactive_nodes pending_version term "
     "redirected_nodes",
     stream.HeartbeatReply: "sent_at version digest age term max_sessions",
     stream.Proposal: "term change",
