--- a/basalthoist/fleet/verdicts.py
+++ b/basalthoist/fleet/verdicts.py
@@ -11,7 +11,7 @@
 VerdictKind = Literal["ban", "sick", "customer", "quota", "head"]
 BAN: VerdictKind = "ban"  # an operator has taken the backend out
 OUTLIER: VerdictKind = "sick"  # several nodes have detected the backend as an outlier
-CUSTOMER: VerdictKind = "customer"  # an operator has shut the tenant out
+TENANT_BAN: VerdictKind = "customer"  # an operator has shut the tenant out
 QUOTA: VerdictKind = "quota"  # an operator has set the tenant's rate
 HEAD: VerdictKind = "head"  # of the catalogue, see docs/distribution.md
 
