--- a/basalthoist/fleet/__init__.py
+++ b/basalthoist/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Nodes that act on one set of verdicts: docs/fleet.md. Nothing here does I/O."""
+"""The replicated verdicts, membership and rate limits of a fleet of nodes: docs/fleet.md. Does no I/O."""
--- a/basalthoist/fleet/election.py
+++ b/basalthoist/fleet/election.py
@@ -1,4 +1,4 @@
-"""A voter's candidacies: terms it stands for, votes, and which set the voters show to be the latest."""
+"""A voter's candidacies: the terms, the votes, and the choice of the latest verdict set among the voters."""
 
 from typing import NamedTuple
 
@@ -8,37 +8,37 @@
 
 
 def owns_term(term: int, name: str, voters: list[str]) -> bool:
-    """Whether that node is the voter whose term this is."""
+    """Returns whether the node `name` is the only voter that may use `term`."""
     return name in voters and voters.index(name) == term % len(voters)
 
 
 class VoterState(NamedTuple):
-    """What a vote says of the voter's set, in the order by which sets are compared."""
+    """The verdict set that a voter has stored. The order of the fields is the order of comparison."""
 
     term: int
     version: int
     digest: bytes
-    intact: bool  # the voter has forgotten nothing that it acknowledged
+    intact: bool  # whether the voter still has everything that it acknowledged, also before a restart
 
 
 class Election:
-    """The candidacy under way, or the last one. Its promises go on to count for the leader's lease."""
+    """The current or the last candidacy. After a win its promises begin the leader's lease."""
 
     def __init__(self, bounds: Bounds, me: str, voters: list[str], now: int) -> None:
         self.bounds: Bounds = bounds
         self.me: str = me
         self.voters: list[str] = voters
-        self.term: int = 0  # the one it stands for or leads in
-        self.highest_seen: int = 0  # term that it has heard of
-        self.fetched: VerdictSet | None = None  # for this candidacy
+        self.term: int = 0  # the term of the candidacy or of the leadership
+        self.highest_seen_term: int = 0
+        self.fetched: VerdictSet | None = None  # the latest set, where this candidate had to fetch it
         self.promises: Promises = Promises(bounds, len(voters))
         self.votes: dict[str, VoterState] = {}
         self.began_at: int = now
         self.requested_at: int = DISTANT_PAST
 
     def start(self, now: int, above: int) -> None:
-        """Stands for the next term of its own above that one and all that it has heard of."""
-        above = max(above, self.highest_seen, self.term)
+        """Starts a candidacy for this voter's next term above `above` and all terms seen so far."""
+        above = max(above, self.highest_seen_term, self.term)
         self.term = next_term(above, self.voters.index(self.me), len(self.voters))
         self.began_at = now
         self.requested_at = DISTANT_PAST
@@ -47,24 +47,27 @@
         self.promises = Promises(self.bounds, len(self.voters))
 
     def notice_term(self, term: int) -> None:
-        """Remembers a term that somebody uses."""
-        self.highest_seen = max(self.highest_seen, term)
+        """Records a term that another voter uses."""
+        self.highest_seen_term = max(self.highest_seen_term, term)
 
     def expired(self, now: int) -> bool:
-        """Whether it has stood for longer than a promise lasts."""
-        return now - self.began_at > self.bounds.own_lease()
+        """Returns whether the candidacy has lasted longer than a promise."""
+        return now - self.began_at > self.bounds.min_promise_duration()
 
     def due(self, now: int) -> bool:
-        """Whether it is time to ask the voters, for the first time or again."""
+        """Returns whether it is time to send vote requests, for the first time or again."""
         return now - self.requested_at >= self.bounds.heartbeat_interval
 
     def on_vote(self, name: str, requested_at: int, state: VoterState) -> None:
-        """Counts a voter's promise, from when this candidate asked for it."""
+        """Counts a voter's promise from `requested_at`, when this candidate sent the request."""
         self.promises.add(name, requested_at)
         self.votes[name] = state
 
     def best(self, now: int, own: VoterState) -> tuple[str, VoterState] | None:
-        """A voter that holds the latest set, and that set, once the running promises cover all commits."""
+        """Returns a voter that has the latest set, and the state of that set.
+
+        None until the voters with a running promise are certain to include one with the last committed set.
+        """
         running = self.promises.running(now)
         votes = {name: self.votes[name] for name in running if name in self.votes}
         votes[self.me] = own
@@ -72,7 +75,8 @@
         if len(intact) >= self.promises.quorum:
             best = max(intact)
         elif len(votes) == len(self.voters):
-            best = max(votes.values(), key=lambda vote: vote[:2])  # all that is left anywhere
+            # Every voter has answered, so no later set can be stored at any of them.
+            best = max(votes.values(), key=lambda vote: vote[:2])
         else:
             return None
         self.notice_term(best.term)
--- a/basalthoist/fleet/host.py
+++ b/basalthoist/fleet/host.py
@@ -1,4 +1,4 @@
-"""What a replica asks of the process that it runs in. The fleet's socket and the emulator implement it."""
+"""The interface between a replica and its process. The fleet's socket and the emulator implement it."""
 
 from typing import Protocol
 
@@ -13,19 +13,19 @@
         """Sends a message to a peer."""
 
     def apply(self, verdicts: VerdictSet) -> None:
-        """Applies these verdicts from now on."""
+        """Puts these verdicts into force in place of the previous ones."""
 
     def store(self, verdicts: VerdictSet) -> None:
-        """Stores the set as a hint for a later incarnation."""
+        """Stores the set on disk, as a hint for the node's next incarnation."""
 
     def answer_call(self, call_id: int, text: str) -> None:
-        """Answers an operator of this node."""
+        """Answers an operator's call that was made at this node."""
 
     def detected_outliers(self) -> list[str]:
-        """The outliers that this node has detected by itself, see outlier_reports.py."""
+        """Returns the outliers that this node has detected by itself, see outlier_reports.py."""
 
     def backend_count(self) -> int:
-        """How many backends this node knows."""
+        """Returns the number of backends that this node knows."""
 
     def log(self, line: str) -> None:
         """Writes a log line."""
--- a/basalthoist/fleet/leader.py
+++ b/basalthoist/fleet/leader.py
@@ -196,7 +196,7 @@
 
     def view_until(self, peer: Peer) -> int:
         """When its view ends, also one that an earlier leader may have confirmed."""
-        return max(peer.view_until, self.began_at + self.bounds.longest_view())
+        return max(peer.view_until, self.began_at + self.bounds.max_remote_view_duration())
 
     def on_heartbeat_reply(self, now: int, name: str, reply: HeartbeatReply) -> bool:
         """Takes in a peer's reply. Whether the lease runs, so that the leader may go on."""
@@ -207,13 +207,13 @@
             return False  # overtaken by a later one
         if reply.voting and name in self.voters:
             self.promises.add(name, reply.heartbeat_sent_at)
-        self.learn(now, peer, reply)
+        self.record_reply(now, peer, reply)
         if self.granter is not None:
             demand = Demand(reply.demand, reply.returns_grants, reply.lends)
             self.granter.on_demand(now, name, demand, reply.heartbeat_sent_at)
         return self.promises.has_quorum(now)
 
-    def learn(self, now: int, peer: Peer, reply: HeartbeatReply) -> None:
+    def record_reply(self, now: int, peer: Peer, reply: HeartbeatReply) -> None:
         """Notes what the reply says of the peer."""
         peer.stored_version = reply.stored_version
         peer.applied_version = reply.applied_version
@@ -223,7 +223,7 @@
         peer.heard_at = now
         peer.outliers = reply.outliers[:MAX_REPORTED]
         if peer.confirmed:
-            peer.view_until = now + self.bounds.longest_view()
+            peer.view_until = now + self.bounds.max_remote_view_duration()
 
     def on_incarnation(self, name: str) -> None:
         """The peer has a new incarnation: only how long the old view may last is still known."""
--- a/basalthoist/fleet/members.py
+++ b/basalthoist/fleet/members.py
@@ -15,7 +15,7 @@
 ALIVE, SUSPECT, GONE = MemberState.ALIVE, MemberState.SUSPECT, MemberState.GONE
 UNITS_PER_SECOND = 10_000
 MAX_UPDATES = 8  # in a message
-INDIRECT_PROBES = 3  # other members that are asked to probe
+MAX_INDIRECT_PROBES = 3  # other members that are asked to probe
 MAX_HEALTH_PENALTY = 8  # the most periods that are added to a period
 SUSPICION_PERIODS = 4  # times half of the binary logarithm of the members
 TRANSMISSION_FACTOR = 3  # times the binary logarithm of the members
@@ -27,7 +27,7 @@
 LAST_STEP = 4
 LATE_TICK_PENALTY = 2
 
-STATE_WORDS = {SUSPECT: "silent", GONE: "gone"}
+STATE_TEXTS = {SUSPECT: "silent", GONE: "gone"}
 
 
 class MembersHost(Protocol):
@@ -77,14 +77,14 @@
         incarnation: int,
         names: list[str],
         period: int,
-        chance: Lcg,
+        random: Lcg,
         now: int,
     ) -> None:
         self.host: MembersHost = host
         self.me: str = me
         self.incarnation: int = incarnation
         self.period: int = period
-        self.chance: Lcg = chance
+        self.random: Lcg = random
         self.members: dict[str, Member] = {name: Member(name) for name in names if name != me}
         self.refutations: int = 0
         self.own_transmissions: int = 0  # of the last refutation
@@ -95,7 +95,7 @@
         self.probed_at: int = now
         self.probe_step: int = 1
         self.forwarded: dict[int, ForwardedProbe] = {}  # by the number of this node's probe
-        self.next_probe_at: int = now + int(period * chance.uniform())
+        self.next_probe_at: int = now + int(period * random.uniform())
         self.last_tick_at: int = now
 
     def present(self) -> list[str]:
@@ -106,7 +106,7 @@
         """For operators."""
         count = f"{len(self.present()) + 1} of {len(self.members) + 1} there"
         missing = [
-            f"{member.name} {STATE_WORDS[member.state]} for {(now - member.since) / UNITS_PER_SECOND:.1f} s"
+            f"{member.name} {STATE_TEXTS[member.state]} for {(now - member.since) / UNITS_PER_SECOND:.1f} s"
             for member in self.members.values()
             if member.state is not ALIVE
         ]
@@ -182,7 +182,7 @@
         """Probes the next member of the round."""
         # Guards against two halves that never meet again: who is gone is probed now and then.
         while self.round and self.members[self.round[-1]].state is GONE:
-            if self.chance.uniform() >= SKIP_GONE_PROBABILITY:
+            if self.random.uniform() >= SKIP_GONE_PROBABILITY:
                 break
             self.round.pop()
         if not self.round:
@@ -196,7 +196,7 @@
         """Draws the order of the next round."""
         names = list(self.members)
         while names:
-            self.round.append(names.pop(int(self.chance.uniform() * len(names))))
+            self.round.append(names.pop(int(self.random.uniform() * len(names))))
 
     def probe(self, name: str) -> None:
         """Probes a member directly."""
@@ -205,8 +205,8 @@
     def probe_indirectly(self) -> None:
         """Asks others to probe the member that does not answer."""
         others = [name for name in self.present() if name != self.probed]
-        for _ in range(min(INDIRECT_PROBES, len(others))):
-            other = others.pop(int(self.chance.uniform() * len(others)))
+        for _ in range(min(MAX_INDIRECT_PROBES, len(others))):
+            other = others.pop(int(self.random.uniform() * len(others)))
             self.host.send(other, Ping(self.probe_number, self.probed, self.gossip(other)))
 
     # Messages.
--- a/basalthoist/fleet/operator_calls.py
+++ b/basalthoist/fleet/operator_calls.py
@@ -20,7 +20,7 @@
     applied_version: int
 
 
-class Progress(Protocol):
+class CommitState(Protocol):
     """What the leader knows of a version's way into force."""
 
     nodes: list[str]
@@ -71,7 +71,7 @@
         self.calls[call_id] = call._replace(forwarded_at=now, was_forwarded=True)
         return OperatorCall(call_id, call.changes, max(call.until - now, 0))
 
-    def settle(self, call_id: int, text: str) -> None:
+    def complete(self, call_id: int, text: str) -> None:
         """Answers the operator, once."""
         if self.calls.pop(call_id, None) is not None:
             self.host.answer_call(call_id, text)
@@ -101,7 +101,7 @@
         """Forgets all of an earlier term."""
         self.waiting, self.versions = [], {}
 
-    def take(self, now: int, name: str, call: OperatorCall, leader: Progress) -> bool:
+    def take(self, now: int, name: str, call: OperatorCall, leader: CommitState) -> bool:
         """Queues a call's changes, unless it is refused or in progress. It may come several times.
 
         Also one that another leader began on. Whether the call waits for its outcome now.
@@ -118,7 +118,7 @@
         self.waiting.append(WaitingCall(name, call.call_id, version, now + call.remaining))
         return True
 
-    def refusal(self, call: OperatorCall, leader: Progress) -> str:
+    def refusal(self, call: OperatorCall, leader: CommitState) -> str:
         """Why the call can't be taken; empty where it can."""
         if len(self.waiting) >= MAX_CALLS:
             return "FAILURE too many calls under way"
@@ -126,7 +126,7 @@
             return f"FAILURE {self.max_verdicts} verdicts at most"
         return ""
 
-    def queue(self, name: str, call: OperatorCall, leader: Progress) -> int:
+    def queue(self, name: str, call: OperatorCall, leader: CommitState) -> int:
         """Queues a call's changes. From which version on they are in force."""
         stored = leader.sets.stored
         leader.queue += call.changes
@@ -140,7 +140,7 @@
         """The queued changes undid one another, so that no call has to wait for a later version."""
         self.waiting = [call._replace(version=min(call.version, version)) for call in self.waiting]
 
-    def answer_ended(self, now: int, leader: Progress) -> None:
+    def answer_ended(self, now: int, leader: CommitState) -> None:
         """Answers the calls that have come to an end, one way or the other."""
         ended = {call: text for call in self.waiting if (text := outcome(now, call, leader))}
         self.waiting = [call for call in self.waiting if call not in ended]
@@ -150,12 +150,12 @@
     def answer(self, name: str, call_id: int, text: str) -> None:
         """Answers a call of this node's operator or of a peer's."""
         if name == self.me:
-            self.local.settle(call_id, text)
+            self.local.complete(call_id, text)
         else:
             self.host.send(name, OperatorReply(call_id, text))
 
 
-def outcome(now: int, call: WaitingCall, leader: Progress) -> str:
+def outcome(now: int, call: WaitingCall, leader: CommitState) -> str:
     """What has come of the call; empty while that is open."""
     if leader.committed < call.version:
         if now < call.until:
@@ -167,7 +167,7 @@
     return late_text(call.version, late) if now >= call.until else ""
 
 
-def success_text(version: int, leader: Progress) -> str:
+def success_text(version: int, leader: CommitState) -> str:
     """The answer to a call whose version nobody contradicts any more."""
     count = len(leader.nodes)
     out = sorted(name for name, peer in leader.peers.items() if peer.applied_version < version)
--- a/basalthoist/fleet/outlier_reports.py
+++ b/basalthoist/fleet/outlier_reports.py
@@ -15,9 +15,9 @@
 MIN_OWN_FAILURE_RATE = 0.3  # of a node's latest attempts there; two failures in a row are 0.36
 MAX_REPORTED = 16  # backends of one node: a heartbeat's reply is one datagram
 MAX_NAME_BYTES = 40
-REPORT_LASTS = 80_000  # tenths of a millisecond beyond the end of the node's own ejection
-MAX_EJECTED_PART = 0.34  # of the backends that the leader knows
-MAX_NAMED_NODES = 8  # in a verdict's `who`
+REPORT_LIFETIME = 80_000  # tenths of a millisecond beyond the end of the node's own ejection
+MAX_EJECTED_FRACTION = 0.34  # of the backends that the leader knows
+MAX_NODES_IN_WHO = 8  # in a verdict's `who`
 
 
 class OutlierState(Protocol):
@@ -41,7 +41,7 @@
     `now` is in tenths of a millisecond of the clock by which the backends are judged.
     """
     ejected = [backend for backend in backends if backend.available and backend.outlier.ejected_until]
-    recent = [backend for backend in ejected if now < backend.outlier.ejected_until + REPORT_LASTS]
+    recent = [backend for backend in ejected if now < backend.outlier.ejected_until + REPORT_LIFETIME]
     outliers = [
         backend
         for backend in recent
@@ -65,12 +65,12 @@
     for name, nodes in sorted(node_counts.items(), key=lambda pair: (-pair[1], pair[0])):
         is_known = (OUTLIER, name) in verdicts.verdicts or (BAN, name) in verdicts.verdicts
         # Guards against a fault of all backends, or of what lies before them, that would empty the fleet.
-        exceeds_part = (ejected + len(found) + 1) > MAX_EJECTED_PART * backend_count
-        if nodes < bounds.outlier_quorum or is_known or exceeds_part:
+        exceeds_fraction = (ejected + len(found) + 1) > MAX_EJECTED_FRACTION * backend_count
+        if nodes < bounds.outlier_quorum or is_known or exceeds_fraction:
             continue
         reporting = sorted(node for node, names in reports.items() if name in names)
-        who = " ".join(reporting[:MAX_NAMED_NODES])
+        who = " ".join(reporting[:MAX_NODES_IN_WHO])
         found.append(
-            Verdict(OUTLIER, name, who=who, why=f"put out by {nodes}", lasts_s=bounds.outlier_ejection_s)
+            Verdict(OUTLIER, name, who=who, why=f"put out by {nodes}", duration_s=bounds.outlier_ejection_s)
         )
     return found
--- a/basalthoist/fleet/quota_leases.py
+++ b/basalthoist/fleet/quota_leases.py
@@ -121,13 +121,13 @@
         """
         for bucket in self.buckets:
             bucket.fill(now)
-            bucket.guaranteed_from = now + self.bounds.lends()
+            bucket.guaranteed_from = now + self.bounds.loan_duration()
 
     def set_rates(self, now: int, rates: list[float]) -> None:
         """Takes the limits' rates that are in force."""
         for bucket, rate in zip(self.buckets, rates, strict=True):
             bucket.fill(now)
-            bucket.guaranteed_rate = self.bounds.guaranteed_part * rate / self.nodes
+            bucket.guaranteed_rate = self.bounds.guaranteed_fraction * rate / self.nodes
 
     def report(self, now: int) -> Demand:
         """What a reply sent now says; it renews the loan of the guaranteed share."""
@@ -197,7 +197,7 @@
         self.demand: dict[str, NodeDemand] = {}
         self.lent_until: dict[str, int] = {}  # by node, at the least
         # Guards against what a leader before may have granted up to the end of its lease: nobody knows it.
-        self.silent_until: int = now + bounds.longest_grant()
+        self.silent_until: int = now + bounds.max_remote_grant_duration()
         # One item for each limit, by node.
         self.outstanding: list[dict[str, list[OutstandingGrant]]] = [{} for _ in limits]
         self.targets: list[dict[str, float]] = [{} for _ in limits]
@@ -207,7 +207,7 @@
     def on_demand(self, now: int, node: str, demand: Demand, heartbeat_sent_at: int) -> None:
         """Takes a node's demand from its reply to the heartbeat sent at `heartbeat_sent_at`."""
         if demand.lends:
-            until = heartbeat_sent_at + self.bounds.lent_for()
+            until = heartbeat_sent_at + self.bounds.min_remote_loan_duration()
             self.lent_until[node] = max(self.lent_until.get(node, 0), until)
         self.demand[node] = NodeDemand(now, {number: rate for number, rate in demand.rates if rate >= 0.0})
         if demand.returns_grants:
@@ -222,9 +222,9 @@
 
     def plan(self, now: int, rates: list[float]) -> None:
         """Before heartbeats that go out together: who should have what, and what is free to be granted."""
-        end = now + self.bounds.longest_grant()
+        end = now + self.bounds.max_remote_grant_duration()
         lending = sum(until >= end for until in self.lent_until.values())
-        not_lent = self.bounds.guaranteed_part * (1 - lending / self.nodes)  # the nodes' own
+        not_lent = self.bounds.guaranteed_fraction * (1 - lending / self.nodes)  # the nodes' own
         grantable = 1 - not_lent
         recent = {
             name: demand.rates for name, demand in self.demand.items() if now - demand.at <= self.bounds.fresh
@@ -244,7 +244,7 @@
         if now < self.silent_until or node not in self.demand:
             return None
         found: Rates = []
-        end = now + self.bounds.longest_grant()
+        end = now + self.bounds.max_remote_grant_duration()
         for number in range(len(self.targets)):
             rate = self.grant(number, node, end)
             if rate > 0.0:
--- a/basalthoist/fleet/replica.py
+++ b/basalthoist/fleet/replica.py
@@ -57,7 +57,7 @@
         nodes: list[str],
         voters: list[str],
         bounds: Bounds,
-        chance: Lcg,
+        random: Lcg,
         now: int,
         hint: VerdictSet | None = None,
         holder: QuotaLeaseHolder | None = None,
@@ -66,7 +66,7 @@
         self.me: str = me
         self.voters: list[str] = voters
         self.bounds: Bounds = bounds
-        self.chance: Lcg = chance
+        self.random: Lcg = random
         self.voter: Voter | None = Voter(bounds, now) if me in voters else None
         self.term: int = 0  # the latest leader's, as far as is known
         self.leader_name: str = ""  # empty where no leader is known
@@ -131,7 +131,7 @@
 
     def draw_election_timeout(self) -> int:
         """Random. Guards against voters that all stand at once, again and again."""
-        return int(self.bounds.lease * (0.7 + 0.8 * self.chance.uniform()))
+        return int(self.bounds.lease * (0.7 + 0.8 * self.random.uniform()))
 
     # The candidate.
 
@@ -248,7 +248,7 @@
         """Passes a call of this node's operator to the leader, or gives it up."""
         if self.calls.is_overdue(now, call_id):
             was_forwarded = self.calls.calls[call_id].was_forwarded
-            return self.calls.settle(call_id, self.no_leader_text(now, was_forwarded))
+            return self.calls.complete(call_id, self.no_leader_text(now, was_forwarded))
         if not self.calls.is_due(now, call_id):
             return
         if self.leads(now):
@@ -315,7 +315,7 @@
             case OperatorCall() if self.leads(now):
                 self.take_call(now, name, message)
             case OperatorReply():
-                self.calls.settle(message.call_id, message.text)
+                self.calls.complete(message.call_id, message.text)
 
     def on_election_message(
         self, now: int, name: str, message: VoteRequest | Vote | VoteRefused | VoteReleased
--- a/basalthoist/fleet/replication.py
+++ b/basalthoist/fleet/replication.py
@@ -53,7 +53,7 @@
             return removals
         for key, verdict in self.applied.verdicts.items():
             since = self.first_stored_at.get(verdict, now)
-            if verdict.lasts_s and now - since >= verdict.lasts_s * UNITS_PER_SECOND:
+            if verdict.duration_s and now - since >= verdict.duration_s * UNITS_PER_SECOND:
                 removals.append(Verdict(*key, on=False, who="end", why="its time is over"))
         return removals
 
--- a/basalthoist/fleet/verdicts.py
+++ b/basalthoist/fleet/verdicts.py
@@ -33,7 +33,7 @@
     figure: float = 0.0  # of a quota: requests a second over the fleet
     who: str = ""
     why: str = ""
-    lasts_s: float = 0.0  # 0: until it is taken back
+    duration_s: float = 0.0  # 0: until it is taken back
 
 
 ENCODE = msgspec.msgpack.Encoder().encode
@@ -105,7 +105,7 @@
     """Whether the change makes a difference to the verdict that stands under its key."""
     if not change.on:
         return before is not None
-    return before is None or before.figure != change.figure or before.lasts_s != change.lasts_s
+    return before is None or before.figure != change.figure or before.duration_s != change.duration_s
 
 
 def decode_set(term: int, version: int, digest: bytes, data: bytes) -> VerdictSet | None:
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -231,10 +231,10 @@
 class Undated(Bounds):
     """Drift left out."""
 
-    def own_lease(self):
+    def min_promise_duration(self):
         return self.lease
 
-    def longest_view(self):
+    def max_remote_view_duration(self):
         return self.stale
 
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -93,7 +93,7 @@
 
 
 class NoDrift(Bounds):
-    def longest_grant(self):
+    def max_remote_grant_duration(self):
         return self.grant_duration
 
 
@@ -205,7 +205,7 @@
     made.run(made.at + 50_000)
     near = sum(made.admitted_by[n] - before[n] for n in made.names if n not in away) / 5
     far = sum(made.admitted_by[n] - before[n] for n in away) / 5
-    guaranteed = SHORT.guaranteed_part * LIMIT.rate * 4 / 9
+    guaranteed = SHORT.guaranteed_fraction * LIMIT.rate * 4 / 9
     assert far == pytest.approx(guaranteed, rel=0.15)
     assert near + guaranteed >= 0.95 * LIMIT.rate
 
--- a/tests/test_wire_forms.py
+++ b/tests/test_wire_forms.py
@@ -135,7 +135,7 @@
     fleet.Ping: "number target updates",
     fleet.Ack: "number target updates",
     fleet.Envelope: "sender incarnation recipient recipient_incarnation message",
-    Verdict: "kind subject on figure who why lasts_s",
+    Verdict: "kind subject on figure who why duration_s",
 }
 
 # The word, and its frame in the fleet named fleet-1.
