--- a/basalthoist/fleet/leader.py
+++ b/basalthoist/fleet/leader.py
@@ -1,4 +1,4 @@
-"""The lease holder's work: proposals, commits, heartbeats, and what it knows of its peers."""
+"""The leader: proposals, commits, heartbeats, and the state of each peer as its replies report it."""
 
 from .bounds import DISTANT_PAST, Bounds
 from .host import ReplicaHost
@@ -12,21 +12,21 @@
 
 
 class Peer:
-    """What the leader knows of a peer in its present incarnation."""
+    """The state of a peer in its current incarnation, from its latest reply."""
 
     def __init__(self) -> None:
-        self.stored_version: int = -1  # of this term
+        self.stored_version: int = -1  # the version of this term that the peer has stored; -1: none
         self.applied_version: int = -1
-        self.intact: bool = False  # it has forgotten nothing that it acknowledged
-        self.reply_sent_at: int = 0  # of its last reply, by its own clock; 0: none has come
-        self.confirmed: bool = False  # whether that reply shows the committed version
-        self.view_until: int = DISTANT_PAST  # it may act on its view until then
-        self.heard_at: int = DISTANT_PAST
+        self.intact: bool = False  # whether the peer still has everything that it acknowledged
+        self.reply_sent_at: int = 0  # when the peer sent its latest reply, on its own clock; 0: no reply yet
+        self.confirmed: bool = False  # whether that reply shows that the peer applies the committed version
+        self.view_until: int = DISTANT_PAST  # the latest time at which the peer may act on its view
+        self.reply_received_at: int = DISTANT_PAST
         self.outliers: list[str] = []
 
 
 class Leader:
-    """A replica's state as leader. It stays after the lease is lost, until the replica leads again."""
+    """A replica's state as leader, which remains after the lease is lost, until the replica leads again."""
 
     def __init__(
         self,
@@ -52,14 +52,14 @@
         self.term: int = 0
         self.promises: Promises = Promises(bounds, len(voters))
         self.peers: dict[str, Peer] = {}
-        self.committed: int = -1  # commit index; -1: not known yet in this term
+        self.committed: int = -1  # the committed version; -1: not known yet in this term
         self.began_at: int = DISTANT_PAST
         self.heartbeat_at: int = DISTANT_PAST
-        self.queue: list[Verdict] = []  # changes that wait for the next proposal
+        self.queue: list[Verdict] = []  # changes for the next proposal
         self.granter: QuotaLeaseGranter | None = None
 
     def start(self, now: int, term: int, promises: Promises, verdicts: VerdictSet) -> None:
-        """Begins a term with the set that the election has found."""
+        """Begins a term with `verdicts`, the latest set among the voters, as its first proposal."""
         self.term = term
         self.promises = promises
         own_voter(self.voter).intact = True
@@ -75,24 +75,24 @@
         self.sets.store(now, verdicts.in_term(term))
 
     def renew(self, now: int) -> bool:
-        """Whether the lease still runs, by the promises of a quorum."""
+        """Renews this voter's own promise. Returns whether the lease, a quorum's promises, still runs."""
         own_voter(self.voter).accept_leader(now, self.term)
         self.promises.add(self.me, now)
         return self.promises.has_quorum(now)
 
     def advance(self, now: int) -> None:
-        """Commits what can be committed and sends a heartbeat where one is due."""
+        """Commits the proposal if a quorum has stored it, and sends heartbeats if they are due."""
         self.commit(now)
         if now - self.heartbeat_at >= self.bounds.heartbeat_interval:
             self.send_heartbeats(now)
             self.propose_outliers(now)
 
     def stop(self) -> None:
-        """The lease is lost, and with it what was not proposed yet."""
+        """Drops the queued changes and the calls in progress after the lease is lost."""
         self.calls.waiting, self.queue = [], []
 
     def send_heartbeats(self, now: int) -> None:
-        """Sends a heartbeat to each peer, with its grants."""
+        """Sends a heartbeat to each peer, with the peer's grants."""
         self.heartbeat_at = now
         if self.granter is not None and self.holder is not None:
             self.plan_grants(now, self.granter, self.holder)
@@ -114,13 +114,13 @@
             self.host.send(name, heartbeat)
 
     def plan_grants(self, now: int, granter: QuotaLeaseGranter, holder: QuotaLeaseHolder) -> None:
-        """Plans the grants of all nodes, and takes this node's own."""
+        """Plans the grants of all nodes, and applies those of this node."""
         granter.on_demand(now, self.me, holder.report(now), now)
         granter.plan(now, rates_of(holder.limits, self.sets.applied))
         holder.on_grants(now, granter.grants(now, self.me), now)
 
     def commit(self, now: int) -> None:
-        """Commits the proposal once a quorum has stored it, then proposes what is queued."""
+        """Commits the proposal if a quorum has stored it; then, or without one, proposes the queued changes."""
         stored = self.sets.stored
         if self.committed != stored.version:
             if self.stored_by(stored.version) < self.promises.quorum:
@@ -135,13 +135,13 @@
             self.propose(now, changes)
 
     def stored_by(self, version: int) -> int:
-        """How many intact voters have stored that version, this one included."""
+        """Returns how many intact voters have stored `version`, this one included."""
         peers = [self.peers[name] for name in self.voters if name in self.peers]
         stored = sum(peer.intact and peer.stored_version >= version for peer in peers)
         return stored + own_voter(self.voter).intact
 
     def propose(self, now: int, changes: list[Verdict]) -> None:
-        """Proposes a version with these changes, unless they undo one another."""
+        """Proposes a version with these changes, unless together they change nothing."""
         changes = self.sets.stored.effective(changes)
         if not changes:
             return self.calls.nothing_changed(self.sets.stored.version)
@@ -150,17 +150,20 @@
         if len(ENCODE(changes)) < MAX_DELTA_BYTES:
             for name in self.peers:
                 self.host.send(name, delta)
-        self.commit(now)  # where it is the only voter
+        self.commit(now)  # A single voter is a quorum by itself.
         self.send_heartbeats(now)
 
     def remove_expired(self, now: int) -> None:
-        """Takes back verdicts whose time is over, by how long this node has stored them: never too early."""
+        """Removes verdicts whose duration has passed since this node stored them.
+
+        This node stored a verdict when it was proposed or later, so a removal is never early.
+        """
         self.queue += self.sets.expired(now)
         if self.queue:
             self.commit(now)
 
     def propose_outliers(self, now: int) -> None:
-        """Proposes the outliers that several peers in touch have detected, each by itself."""
+        """Proposes to eject the outliers that enough nodes in touch have each detected themselves."""
         stored = self.sets.stored
         if not self.bounds.outlier_quorum or self.committed != stored.version or self.queue:
             return
@@ -173,17 +176,20 @@
         self.commit(now)
 
     def outlier_reports(self, now: int) -> dict[str, list[str]]:
-        """The outliers of this node and of the peers that are in touch and apply the committed version."""
+        """Returns the outliers by node: this node, and peers in touch that apply the committed version."""
         reports = {
             name: peer.outliers
             for name, peer in self.peers.items()
-            if peer.applied_version == self.committed and now - peer.heard_at <= self.bounds.fresh
+            if peer.applied_version == self.committed and now - peer.reply_received_at <= self.bounds.fresh
         }
         reports[self.me] = self.host.detected_outliers()
         return reports
 
     def may_apply_older(self, now: int, version: int) -> dict[str, int]:
-        """The peers that may still apply an older version, with for how long or UNTIL_IN_TOUCH."""
+        """Returns the peers that may still apply a version below `version`, each with the longest time left.
+
+        The time is UNTIL_IN_TOUCH in a fleet that is not strict, where a stale view does not end.
+        """
         found = {}
         for name, peer in self.peers.items():
             if peer.applied_version < version:
@@ -195,16 +201,16 @@
         return found
 
     def view_until(self, peer: Peer) -> int:
-        """When its view ends, also one that an earlier leader may have confirmed."""
+        """Returns when the peer's view ends at the latest, including one that an earlier leader confirmed."""
         return max(peer.view_until, self.began_at + self.bounds.max_remote_view_duration())
 
     def on_heartbeat_reply(self, now: int, name: str, reply: HeartbeatReply) -> bool:
-        """Takes in a peer's reply. Whether the lease runs, so that the leader may go on."""
+        """Processes a peer's reply to a heartbeat. Returns whether the reply was used and the lease runs."""
         if reply.term != self.term or name not in self.peers:
             return False
         peer = self.peers[name]
         if reply.sent_at < peer.reply_sent_at:
-            return False  # overtaken by a later one
+            return False  # A later reply has arrived before this one.
         if reply.voting and name in self.voters:
             self.promises.add(name, reply.heartbeat_sent_at)
         self.record_reply(now, peer, reply)
@@ -214,34 +220,34 @@
         return self.promises.has_quorum(now)
 
     def record_reply(self, now: int, peer: Peer, reply: HeartbeatReply) -> None:
-        """Notes what the reply says of the peer."""
+        """Updates the peer's state from its reply."""
         peer.stored_version = reply.stored_version
         peer.applied_version = reply.applied_version
         peer.intact = reply.intact
         peer.reply_sent_at = reply.sent_at
         peer.confirmed = 0 <= self.committed == reply.applied_version
-        peer.heard_at = now
+        peer.reply_received_at = now
         peer.outliers = reply.outliers[:MAX_REPORTED]
         if peer.confirmed:
             peer.view_until = now + self.bounds.max_remote_view_duration()
 
     def on_incarnation(self, name: str) -> None:
-        """The peer has a new incarnation: only how long the old view may last is still known."""
+        """Resets the peer after a restart, except for the end of the view of its previous incarnation."""
         if name in self.peers:
             until = self.peers[name].view_until
             self.peers[name] = Peer()
             self.peers[name].view_until = until
 
     def status(self, now: int) -> str:
-        """What each node applies, for operators."""
+        """Returns the version that each node applies, for operators."""
         rows = [f"{self.me} {self.sets.applied.version}"]
         rows += [self.peer_status(now, name, self.peers[name]) for name in sorted(self.peers)]
         return ", ".join(rows)
 
     def peer_status(self, now: int, name: str, peer: Peer) -> str:
-        """What one peer applies, for operators."""
+        """Returns the version that one peer applies, for operators."""
         version = str(peer.applied_version) if peer.applied_version >= 0 else "unheard"
-        if peer.confirmed and now - peer.heard_at <= self.bounds.fresh:
+        if peer.confirmed and now - peer.reply_received_at <= self.bounds.fresh:
             return f"{name} {version}"
         left = max(self.view_until(peer) - now, 0)
         return f"{name} {version} out of touch {left / UNITS_PER_SECOND:.1f} s left"
--- a/basalthoist/fleet/operator_calls.py
+++ b/basalthoist/fleet/operator_calls.py
@@ -1,4 +1,4 @@
-"""Operators' calls: those made at this node until they are answered, and all calls that the leader has."""
+"""Operators' calls: those made at this node, and those in progress at the leader."""
 
 from collections.abc import Mapping
 from typing import NamedTuple, Protocol
@@ -9,19 +9,19 @@
 from .verdicts import Verdict
 from .wire import OperatorCall, OperatorReply
 
-MAX_CALLS = 256  # in progress at the leader
-REMEMBERED_CALLS = 4 * MAX_CALLS
-UNTIL_IN_TOUCH = -1  # in place of a time that the leader does not know
+MAX_CALLS_IN_PROGRESS = 256  # at the leader
+MAX_REMEMBERED_CALLS = 4 * MAX_CALLS_IN_PROGRESS
+UNTIL_IN_TOUCH = -1  # stands for a time that the leader cannot know: until the peer is in touch again
 
 
 class PeerVersion(Protocol):
-    """The part of a peer that calls look at."""
+    """The part of a peer's state that calls depend on."""
 
     applied_version: int
 
 
 class CommitState(Protocol):
-    """What the leader knows of a version's way into force."""
+    """The leader's state from which a call's outcome follows."""
 
     nodes: list[str]
     committed: int
@@ -33,20 +33,20 @@
         """The other nodes."""
 
     def may_apply_older(self, now: int, version: int) -> dict[str, int]:
-        """The peers that may still apply an older version, with for how long or UNTIL_IN_TOUCH."""
+        """Returns the peers that may still apply a version below `version`, with the longest time left."""
 
 
 class LocalCall(NamedTuple):
-    """An operator's call at this node."""
+    """An operator's call that was made at this node."""
 
     changes: list[Verdict]
     until: int
-    forwarded_at: int  # when it was passed to a leader last
+    forwarded_at: int  # when this node last sent the call to a leader
     was_forwarded: bool
 
 
 class LocalCalls:
-    """The calls of this node's own operators. Each is passed to the leader again until it is answered."""
+    """The calls made at this node. Each is sent to the leader again until it is answered."""
 
     def __init__(self, host: ReplicaHost, bounds: Bounds) -> None:
         self.host: ReplicaHost = host
@@ -54,40 +54,40 @@
         self.calls: dict[int, LocalCall] = {}
 
     def add(self, now: int, call_id: int, changes: list[Verdict]) -> None:
-        """Takes an operator's call."""
+        """Adds an operator's call."""
         self.calls[call_id] = LocalCall(changes, now + self.bounds.call_timeout, DISTANT_PAST, False)
 
     def is_overdue(self, now: int, call_id: int) -> bool:
-        """Whether no answer is waited for any longer."""
+        """Returns whether the wait for an answer is over."""
         return now > self.calls[call_id].until + 4 * self.bounds.heartbeat_interval
 
     def is_due(self, now: int, call_id: int) -> bool:
-        """Whether it is time to pass the call to the leader, for the first time or again."""
+        """Returns whether it is time to send the call to the leader, for the first time or again."""
         return now - self.calls[call_id].forwarded_at >= 3 * self.bounds.heartbeat_interval
 
     def message(self, now: int, call_id: int) -> OperatorCall:
-        """The call as the leader gets it now."""
+        """Returns the message to the leader and records that the call is sent now."""
         call = self.calls[call_id]
         self.calls[call_id] = call._replace(forwarded_at=now, was_forwarded=True)
         return OperatorCall(call_id, call.changes, max(call.until - now, 0))
 
     def complete(self, call_id: int, text: str) -> None:
-        """Answers the operator, once."""
+        """Answers the operator. A second answer to the same call is dropped."""
         if self.calls.pop(call_id, None) is not None:
             self.host.answer_call(call_id, text)
 
 
 class WaitingCall(NamedTuple):
-    """A call at the leader: which node has it, and from which version on it is in force."""
+    """A call in progress at the leader."""
 
-    name: str
+    name: str  # of the node at which the call was made
     call_id: int
-    version: int
+    version: int  # the first version that contains the call's changes
     until: int
 
 
 class CallsInProgress:
-    """The calls that the leader has taken and not yet answered."""
+    """The calls that the leader has accepted and not answered yet."""
 
     def __init__(self, host: ReplicaHost, me: str, local: LocalCalls, max_verdicts: int) -> None:
         self.host: ReplicaHost = host
@@ -95,16 +95,18 @@
         self.local: LocalCalls = local
         self.max_verdicts: int = max_verdicts
         self.waiting: list[WaitingCall] = []
-        self.versions: dict[tuple[str, int], int] = {}  # of calls that this leader took lately
+        # The versions of the calls that this leader accepted last, by node and call.
+        self.versions: dict[tuple[str, int], int] = {}
 
     def clear(self) -> None:
-        """Forgets all of an earlier term."""
+        """Drops all calls of an earlier term."""
         self.waiting, self.versions = [], {}
 
     def take(self, now: int, name: str, call: OperatorCall, leader: CommitState) -> bool:
-        """Queues a call's changes, unless it is refused or in progress. It may come several times.
+        """Queues a call's changes, unless the call is refused, in progress, or only its answer was lost.
 
-        Also one that another leader began on. Whether the call waits for its outcome now.
+        Nodes send a call repeatedly, also one that an earlier leader has accepted. Returns whether the call
+        was added to those in progress.
         """
         if any((waiting.name, waiting.call_id) == (name, call.call_id) for waiting in self.waiting):
             return False
@@ -113,42 +115,42 @@
             self.answer(name, call.call_id, refusal)
             return False
         version = self.versions.get((name, call.call_id))
-        if version is None:  # otherwise its answer was lost
+        if version is None:  # Otherwise the answer was lost, and the changes must not be queued again.
             version = self.queue(name, call, leader)
         self.waiting.append(WaitingCall(name, call.call_id, version, now + call.remaining))
         return True
 
     def refusal(self, call: OperatorCall, leader: CommitState) -> str:
-        """Why the call can't be taken; empty where it can."""
-        if len(self.waiting) >= MAX_CALLS:
+        """Returns the answer that refuses the call, or an empty text if the call is acceptable."""
+        if len(self.waiting) >= MAX_CALLS_IN_PROGRESS:
             return "FAILURE too many calls under way"
         if len(leader.sets.stored.verdicts) + len(leader.queue) + len(call.changes) > self.max_verdicts:
             return f"FAILURE {self.max_verdicts} verdicts at most"
         return ""
 
     def queue(self, name: str, call: OperatorCall, leader: CommitState) -> int:
-        """Queues a call's changes. From which version on they are in force."""
+        """Queues a call's changes and returns the first version that will contain them."""
         stored = leader.sets.stored
         leader.queue += call.changes
         version = stored.version + bool(stored.effective(leader.queue))
         self.versions[name, call.call_id] = version
-        while len(self.versions) > REMEMBERED_CALLS:
+        while len(self.versions) > MAX_REMEMBERED_CALLS:
             del self.versions[next(iter(self.versions))]
         return version
 
     def nothing_changed(self, version: int) -> None:
-        """The queued changes undid one another, so that no call has to wait for a later version."""
+        """Lets calls wait for `version` at most: the queued changes had no effect, so no later one comes."""
         self.waiting = [call._replace(version=min(call.version, version)) for call in self.waiting]
 
     def answer_ended(self, now: int, leader: CommitState) -> None:
-        """Answers the calls that have come to an end, one way or the other."""
+        """Answers the calls in progress that have succeeded or failed."""
         ended = {call: text for call in self.waiting if (text := outcome(now, call, leader))}
         self.waiting = [call for call in self.waiting if call not in ended]
         for call, text in ended.items():
             self.answer(call.name, call.call_id, text)
 
     def answer(self, name: str, call_id: int, text: str) -> None:
-        """Answers a call of this node's operator or of a peer's."""
+        """Answers a call that was made at the node `name`, which may be this one."""
         if name == self.me:
             self.local.complete(call_id, text)
         else:
@@ -156,7 +158,7 @@
 
 
 def outcome(now: int, call: WaitingCall, leader: CommitState) -> str:
-    """What has come of the call; empty while that is open."""
+    """Returns the answer to the call, or an empty text while the outcome is open."""
     if leader.committed < call.version:
         if now < call.until:
             return ""
@@ -168,7 +170,7 @@
 
 
 def success_text(version: int, leader: CommitState) -> str:
-    """The answer to a call whose version nobody contradicts any more."""
+    """Returns the answer to a call for which no node may act on an older version any more."""
     count = len(leader.nodes)
     out = sorted(name for name, peer in leader.peers.items() if peer.applied_version < version)
     if not out:
@@ -177,7 +179,7 @@
 
 
 def late_text(version: int, late: dict[str, int]) -> str:
-    """The answer to a call whose version is committed but not applied everywhere in time."""
+    """Returns the answer to a call whose version is committed, but not yet applied by all nodes."""
     longest = max(late.values())
     how_long = f"for {longest / UNITS_PER_SECOND:.1f} s more"
     if min(late.values()) == UNTIL_IN_TOUCH:
