--- a/basalthoist/fleet/leader.py
+++ b/basalthoist/fleet/leader.py
@@ -120,7 +120,7 @@
         holder.on_grants(now, granter.grants(now, self.me), now)
 
     def commit(self, now: int) -> None:
-        """Commits the proposal if a quorum has stored it; then, or without one, proposes the queued changes."""
+        """Commits the proposal if a quorum has stored it, then proposes the queued changes."""
         stored = self.sets.stored
         if self.committed != stored.version:
             if self.stored_by(stored.version) < self.promises.quorum:
--- a/basalthoist/fleet/quota_leases.py
+++ b/basalthoist/fleet/quota_leases.py
@@ -222,7 +222,7 @@
                 outstanding.pop(node, None)
 
     def outstanding_rate(self, now: int, number: int, node: str) -> float:
-        """Returns the highest rate of a limit that the node's grants still allow, and drops expired grants."""
+        """Returns the highest rate that the node's grants still allow, and drops expired grants."""
         live = [grant for grant in self.outstanding[number].get(node, ()) if grant.end > now]
         self.outstanding[number][node] = live
         return max((grant.rate for grant in live), default=0.0)
