--- a/basalthoist/fleet/members.py
+++ b/basalthoist/fleet/members.py
@@ -1,7 +1,7 @@
 """Membership by SWIM: direct and indirect probes, suspicion and refutation. Sources: docs/fleet.md.
 
 In each period a node probes one other member; each round covers all members in a new random order. Probes
-and acks carry the gossip. A node whose ticks are late, or whose probes are not answered, raises its own health
+and acks carry the gossip. A node whose ticks are late, or whose probes are not answered, raises its health
 penalty, so that it waits longer before it suspects others. Times are whole tenths of a millisecond.
 """
 
--- a/basalthoist/fleet/replication.py
+++ b/basalthoist/fleet/replication.py
@@ -1,4 +1,4 @@
-"""The sets of verdicts that one replica stores and applies, and how it catches up with its leader."""
+"""The verdict sets that one replica stores and applies, and how the replica fetches missing versions."""
 
 from .host import ReplicaHost
 from .quota_leases import QuotaLeaseHolder, rates_of
@@ -6,18 +6,18 @@
 from .wire import SetChunk, SetDelta, SetRequest
 
 UNITS_PER_SECOND = 10_000
-MAX_DELTA_BYTES = 1100  # of changes that go in one datagram
-MAX_CHUNKS_SENT = 16  # of a snapshot in answer to one request
-CHUNKS_PER_REQUEST = 8  # received before the next ones are asked for
+MAX_DELTA_BYTES = 1100  # encoded changes; with the envelope they fit in one datagram
+MAX_CHUNKS_PER_ANSWER = 16
+CHUNKS_PER_REQUEST = 8  # chunks received before the next ones are requested
 
 
 class Replication:
-    """The stored and the applied set, the changelog between versions, and the snapshot being fetched."""
+    """The stored and the applied set, the changelog between versions, and the fetch in progress."""
 
     def __init__(self, host: ReplicaHost, holder: QuotaLeaseHolder | None, hint: VerdictSet | None) -> None:
         self.host: ReplicaHost = host
         self.holder: QuotaLeaseHolder | None = holder
-        self.stored: VerdictSet = hint or VerdictSet(0, 0, {})  # a hint until a leader has been heard
+        self.stored: VerdictSet = hint or VerdictSet(0, 0, {})  # a hint until a leader's heartbeat
         self.applied: VerdictSet = VerdictSet(0, 0, {})
         self.changelog: Changelog = Changelog()
         self.fetch: SnapshotFetch | None = None
@@ -25,7 +25,7 @@
         self.applies_hint: bool = False
 
     def store(self, now: int, verdicts: VerdictSet) -> None:
-        """Stores a proposal."""
+        """Stores a proposal, and records when this replica first stored each of its verdicts."""
         is_new = verdicts.digest != self.stored.digest
         self.stored = verdicts
         if is_new:
@@ -34,7 +34,7 @@
         self.first_stored_at = {verdict: before.get(verdict, now) for verdict in verdicts.verdicts.values()}
 
     def apply(self, now: int, verdicts: VerdictSet) -> None:
-        """Applies a committed set, unless a later one is applied already."""
+        """Applies a committed set, unless that or a later one is applied already."""
         if verdicts.version > self.applied.version or self.applies_hint:
             self.applied, self.applies_hint = verdicts, False
             if self.holder is not None:
@@ -42,12 +42,15 @@
             self.host.apply(verdicts)
 
     def apply_hint(self, now: int, hint: VerdictSet) -> None:
-        """Applies a hint, which any committed set replaces."""
+        """Applies a hint, which any committed set replaces, whatever their versions."""
         self.apply(now, hint)
         self.applies_hint = True
 
     def expired(self, now: int) -> list[Verdict]:
-        """Removals of verdicts whose time is over, counted from when this replica stored them."""
+        """Returns removals of verdicts whose duration has passed since this replica first stored them.
+
+        Returns none while a proposal is open.
+        """
         removals: list[Verdict] = []
         if self.stored.digest != self.applied.digest:
             return removals
@@ -58,24 +61,24 @@
         return removals
 
     def propose(self, term: int, changes: list[Verdict]) -> tuple[VerdictSet, SetDelta]:
-        """The proposal that these changes make, recorded in the changelog, and its message."""
+        """Returns the set with these changes and the message that proposes it; adds it to the changelog."""
         before = self.stored
         after = before.with_changes(term, changes)
         self.changelog.add(before, after, changes)
         return after, SetDelta(term, after.version, after.digest, before.digest, [changes])
 
     def is_fetching(self, digest: bytes) -> bool:
-        """Whether that set is being fetched."""
+        """Returns whether the set with this digest is being fetched."""
         return self.fetch is not None and self.fetch.digest == digest
 
     def request_missing(self, now: int, fetch: SnapshotFetch) -> None:
-        """Asks for what is missing of the set being fetched."""
+        """Requests the missing chunks of a set, or the set as such if no chunk has arrived."""
         fetch.requested_at = now
         known = [] if fetch.count else [self.stored.digest, self.applied.digest]
         self.host.send(fetch.source, SetRequest(fetch.version, fetch.digest, known, fetch.missing()))
 
     def on_request(self, name: str, request: SetRequest) -> None:
-        """Answers with a delta where a small one is known, otherwise with chunks of the snapshot."""
+        """Answers with a delta if the changelog has one that fits in a datagram, otherwise with chunks."""
         requested = self.find(request.digest)
         if requested is None:
             return
@@ -87,15 +90,15 @@
         self.send_chunks(name, requested, request.chunks)
 
     def send_chunks(self, name: str, verdicts: VerdictSet, indexes: list[int]) -> None:
-        """Sends those chunks of the snapshot, or the first ones where none are named."""
+        """Sends these chunks of the snapshot, or the first ones if `indexes` is empty."""
         count = verdicts.chunk_count()
-        for index in (indexes or range(min(count, MAX_CHUNKS_SENT)))[:MAX_CHUNKS_SENT]:
+        for index in (indexes or range(min(count, MAX_CHUNKS_PER_ANSWER)))[:MAX_CHUNKS_PER_ANSWER]:
             if 0 <= index < count:
                 chunk = SetChunk(verdicts.version, verdicts.digest, index, count, verdicts.chunk(index))
                 self.host.send(name, chunk)
 
     def on_chunk(self, now: int, chunk: SetChunk) -> VerdictSet | None:
-        """The fetched set, once this chunk completes it."""
+        """Adds a chunk and requests the next ones. Returns the set if this chunk completes it."""
         fetch = self.fetch
         if fetch is None or fetch.digest != chunk.digest:
             return None
@@ -106,7 +109,10 @@
         return complete
 
     def on_delta(self, delta: SetDelta) -> VerdictSet | None:
-        """The set that the delta makes; None if its base is not here or the result is not what was meant."""
+        """Returns the set that the delta leads to.
+
+        None if the base of the delta is not here, or if the resulting digest or version is wrong.
+        """
         base = self.find(delta.base)
         if base is None or self.stored.digest == delta.digest:
             return None
@@ -120,5 +126,5 @@
         return versions[-1]
 
     def find(self, digest: bytes) -> VerdictSet | None:
-        """The stored or the applied set, whichever has that digest."""
+        """Returns the stored or the applied set, whichever has this digest, or None."""
         return next((verdicts for verdicts in (self.stored, self.applied) if verdicts.digest == digest), None)
--- a/basalthoist/fleet/verdicts.py
+++ b/basalthoist/fleet/verdicts.py
@@ -1,4 +1,4 @@
-"""The fleet's verdicts: one set, complete at each version, with the changes that led to it."""
+"""The fleet's verdicts: a set with a version, snapshots of it, and the changelog between versions."""
 
 from collections import deque
 from hashlib import blake2b
@@ -9,31 +9,31 @@
 from .bounds import DISTANT_PAST
 
 VerdictKind = Literal["ban", "sick", "customer", "quota", "head"]
-BAN: VerdictKind = "ban"  # an operator has taken the backend out
+BAN: VerdictKind = "ban"  # an operator has banned the backend
 OUTLIER: VerdictKind = "sick"  # several nodes have detected the backend as an outlier
-TENANT_BAN: VerdictKind = "customer"  # an operator has shut the tenant out
+TENANT_BAN: VerdictKind = "customer"  # an operator has banned the tenant
 QUOTA: VerdictKind = "quota"  # an operator has set the tenant's rate
-HEAD: VerdictKind = "head"  # of the catalogue, see docs/distribution.md
+HEAD: VerdictKind = "head"  # the latest version of the catalogue, see docs/distribution.md
 
 CHANGELOG_VERSIONS = 64
 CHUNK_BYTES = 1024
-MAX_CHUNKS = 4096  # of a snapshot
-CHUNK_WINDOW = 16  # chunks that are asked for at once
+MAX_CHUNKS_PER_SNAPSHOT = 4096
+MAX_CHUNKS_PER_REQUEST = 16
 DIGEST_BYTES = 16
 
 VerdictKey = tuple[VerdictKind, str]  # kind and subject
 
 
 class Verdict(msgspec.Struct, frozen=True, array_like=True):
-    """One verdict, or its removal. The fields' order is its form on the wire and in files."""
+    """One verdict, or its removal. Encoded as an array, so the order of the fields is part of the format."""
 
     kind: VerdictKind
     subject: str
-    on: bool = True  # False takes back what stands under this kind and subject
-    figure: float = 0.0  # of a quota: requests a second over the fleet
-    who: str = ""
+    on: bool = True  # False removes the verdict with this kind and subject
+    figure: float = 0.0  # for a quota: requests per second over the fleet
+    who: str = ""  # the nodes that made or reported the verdict
     why: str = ""
-    duration_s: float = 0.0  # 0: until it is taken back
+    duration_s: float = 0.0  # 0: until the verdict is removed
 
 
 ENCODE = msgspec.msgpack.Encoder().encode
@@ -41,12 +41,12 @@
 
 
 def digest_of(version: int, data: bytes) -> bytes:
-    """The digest of an encoded set at a version."""
+    """Returns the digest of an encoded set at a version."""
     return blake2b(data, digest_size=DIGEST_BYTES, salt=version.to_bytes(16, "big")).digest()
 
 
 class VerdictSet:
-    """A set of verdicts at a version, and the term in which it was proposed. It is immutable."""
+    """An immutable set of verdicts, with its version and the term in which it was proposed."""
 
     __slots__ = ("term", "version", "verdicts", "data", "digest")
 
@@ -58,7 +58,7 @@
         self.digest: bytes = digest_of(version, self.data)
 
     def in_term(self, term: int) -> "VerdictSet":
-        """The same set, proposed anew."""
+        """Returns the same set, as proposed in another term."""
         copy = VerdictSet.__new__(VerdictSet)
         copy.term = term
         copy.version = self.version
@@ -68,7 +68,7 @@
         return copy
 
     def with_changes(self, term: int, changes: list[Verdict]) -> "VerdictSet":
-        """The next version, with these changes."""
+        """Returns the next version, with these changes."""
         verdicts = dict(self.verdicts)
         for change in changes:
             if change.on:
@@ -78,7 +78,7 @@
         return VerdictSet(term, self.version + 1, verdicts)
 
     def effective(self, changes: list[Verdict]) -> list[Verdict]:
-        """Those of the changes, one after the other, that change anything. Who asks again is no change."""
+        """Returns those changes that have an effect when they are applied in order; repeats are left out."""
         found = []
         verdicts: dict[VerdictKey, Verdict | None] = dict(self.verdicts)
         for change in changes:
@@ -89,27 +89,27 @@
         return found
 
     def order(self) -> tuple[int, int]:
-        """By which sets are compared: the later one replaces the earlier one."""
+        """Returns the key for comparing sets: the set with the higher key replaces the other."""
         return self.term, self.version
 
     def chunk_count(self) -> int:
-        """How many chunks a snapshot has."""
+        """Returns the number of chunks of the snapshot."""
         return max(-(-len(self.data) // CHUNK_BYTES), 1)
 
     def chunk(self, index: int) -> bytes:
-        """One chunk of the snapshot."""
+        """Returns one chunk of the snapshot."""
         return self.data[index * CHUNK_BYTES : (index + 1) * CHUNK_BYTES]
 
 
 def is_effective(before: Verdict | None, change: Verdict) -> bool:
-    """Whether the change makes a difference to the verdict that stands under its key."""
+    """Returns whether the change has an effect on `before`, the verdict with the same key, or None."""
     if not change.on:
         return before is not None
     return before is None or before.figure != change.figure or before.duration_s != change.duration_s
 
 
 def decode_set(term: int, version: int, digest: bytes, data: bytes) -> VerdictSet | None:
-    """A set from its encoded form, or None where that is not what the digest says."""
+    """Returns the set encoded in `data`, or None if `data` does not match the digest or cannot be decoded."""
     if digest_of(version, data) != digest:
         return None
     try:
@@ -123,25 +123,25 @@
 class ChangelogEntry(NamedTuple):
     """The changes that led to one version."""
 
-    before: bytes  # digest
-    after: bytes  # digest
+    before: bytes  # digest of the previous version
+    after: bytes  # digest of the new version
     changes: list[Verdict]
 
 
 class Changelog:
-    """The last changes: what a replica that is behind can be given in place of a snapshot."""
+    """The changes of the last versions, which a replica that is behind can receive instead of a snapshot."""
 
     def __init__(self) -> None:
         self.entries: deque[ChangelogEntry] = deque(maxlen=CHANGELOG_VERSIONS)
 
     def add(self, before: VerdictSet, after: VerdictSet, changes: list[Verdict]) -> None:
-        """Records a version."""
+        """Adds a version. Drops all entries if `before` is not the last version in the changelog."""
         if self.entries and self.entries[-1].after != before.digest:
             self.entries.clear()
         self.entries.append(ChangelogEntry(before.digest, after.digest, changes))
 
     def between(self, base: bytes, target: bytes) -> list[list[Verdict]] | None:
-        """The changes of each version from one digest to the other, or None."""
+        """Returns the changes of each version from one digest to the other, or None if they are not here."""
         found: list[list[Verdict]] | None = None
         for entry in self.entries:
             if entry.before == base:
@@ -154,7 +154,7 @@
 
 
 class SnapshotFetch:
-    """A snapshot that comes in chunks, in any order and perhaps twice."""
+    """A snapshot being fetched. Its chunks may arrive in any order, and more than once."""
 
     def __init__(self, version: int, digest: bytes, source: str) -> None:
         self.version: int = version
@@ -165,12 +165,12 @@
         self.requested_at: int = DISTANT_PAST
 
     def missing(self) -> list[int]:
-        """The chunks to ask for next."""
-        return [index for index in range(self.count) if index not in self.chunks][:CHUNK_WINDOW]
+        """Returns the indexes of the chunks to request next."""
+        return [index for index in range(self.count) if index not in self.chunks][:MAX_CHUNKS_PER_REQUEST]
 
     def add(self, index: int, count: int, data: bytes, term: int) -> VerdictSet | None:
-        """The set, once it is complete. A chunk of another count begins it anew."""
-        if not 1 <= count <= MAX_CHUNKS or not 0 <= index < count or len(data) > CHUNK_BYTES:
+        """Adds a chunk. Returns the set if it is complete. A chunk with another count restarts the fetch."""
+        if not 1 <= count <= MAX_CHUNKS_PER_SNAPSHOT or not 0 <= index < count or len(data) > CHUNK_BYTES:
             return None
         if count != self.count:
             self.chunks, self.count = {}, count
@@ -180,6 +180,6 @@
         complete = b"".join(self.chunks[index] for index in range(count))
         decoded = decode_set(term, self.version, self.digest, complete)
         if decoded is None:
-            # Guards against one damaged chunk among many: all are asked for again.
+            # The digest does not show which chunk is corrupt, so all are requested again.
             self.chunks = {}
         return decoded
