--- a/basalthoist/fleet/wire.py
+++ b/basalthoist/fleet/wire.py
@@ -1,11 +1,11 @@
-"""The fleet's messages as datagrams: MessagePack behind a keyed checksum.
+"""The fleet's messages as datagrams: MessagePack after a keyed checksum.
 
 The key is the digest of the fleet's file, so that a datagram of another fleet, or of a node with other voters
-or bounds, is refused like a damaged one. Each message travels in an envelope that names the sender, the
+or bounds, is dropped like a corrupt one. Each message is sent in an envelope that names the sender, the
 recipient and the incarnations of both.
 
-All messages are arrays on the wire: the order of the fields is the form, their names are free. Times are
-whole tenths of a millisecond of the clock of the node that is named; `echo` and the like return to it.
+All messages are arrays on the wire: the order of the fields is part of the protocol, their names are not.
+Times are whole tenths of a millisecond on one node's clock; fields such as `echo` return a time to that node.
 """
 
 from enum import IntEnum
@@ -21,7 +21,7 @@
 
 
 class MemberState(IntEnum):
-    """What the membership protocol believes of a member; the higher state wins."""
+    """A member's state in the membership protocol. Of two updates with equal refutations, the higher wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -29,88 +29,90 @@
 
 
 class MemberUpdate(NamedTuple):
-    """One member's state, as nodes gossip it (SWIM)."""
+    """A gossiped update on the state of one member (SWIM)."""
 
     name: str
     incarnation: int
-    refutations: int  # how often the member has refuted a suspicion in this incarnation
+    refutations: int  # number of suspicions that the member has refuted in this incarnation
     state: MemberState
 
 
 class HandshakeRequest(msgspec.Struct, array_like=True, tag=0):
-    """Asks for the recipient's present incarnation. Only one that still runs can answer."""
+    """Requests the recipient's current incarnation, the only one that can still answer."""
 
     nonce: int
 
 
 class HandshakeReply(msgspec.Struct, array_like=True, tag=1):
-    """Answers a handshake request; the envelope names the incarnation."""
+    """Answers a handshake request. The incarnation is in the envelope."""
 
     nonce: int
 
 
 class VoteRequest(msgspec.Struct, array_like=True, tag=2):
-    """A candidate asks for a promise."""
+    """A candidate's request for a voter's promise."""
 
     term: int
-    sent_at: int  # by the candidate's clock
+    sent_at: int  # on the candidate's clock
 
 
 class Vote(msgspec.Struct, array_like=True, tag=3):
-    """A voter's promise, with the verdict set that it has stored."""
+    """A voter's promise to a candidate, with the state of the voter's stored verdict set."""
 
     term: int
-    requested_at: int  # the request's `sent_at`
+    requested_at: int  # `sent_at` of the request
     stored_term: int
     version: int
     digest: bytes
-    intact: bool  # the voter has forgotten nothing that it acknowledged
+    intact: bool  # whether the voter still has everything that it acknowledged
 
 
 class VoteRefused(msgspec.Struct, array_like=True, tag=4):
-    """The voter is bound to another term."""
+    """A voter's refusal: it has promised another term, or a higher one."""
 
-    term: int
-    remaining: int  # for how long its promise still runs
+    term: int  # the lowest term that the voter accepts
+    remaining: int  # how long the voter's promise still runs
 
 
 class VoteReleased(msgspec.Struct, array_like=True, tag=5):
-    """A candidate has given its term up for good."""
+    """Notice from a candidate that it has withdrawn and will not use this term again."""
 
     term: int
 
 
 class Heartbeat(msgspec.Struct, array_like=True, tag=6):
-    """The leader's proposal and commit index, with its answer to the last reply it has heard."""
+    """The leader's proposal and committed version, with its response to the recipient's latest reply."""
 
     term: int
-    sent_at: int  # by the leader's clock
+    sent_at: int  # on the leader's clock
     version: int
     digest: bytes
     committed: int  # -1: not known yet in this term
-    echo: int  # `sent_at` of that reply
-    confirmed: bool  # whether that reply has shown the committed version
-    grants: list[tuple[int, float]] | None = None  # rates by limit; None: nothing is said about them
+    echo: int  # `sent_at` of the recipient's latest reply
+    confirmed: bool  # whether that reply showed that the recipient applies the committed version
+    grants: list[tuple[int, float]] | None = None  # rates by limit; None: grants are not decided yet
 
 
 class HeartbeatReply(msgspec.Struct, array_like=True, tag=7):
-    """A node's answer to a heartbeat."""
+    """A node's reply to a heartbeat."""
 
     term: int
-    heartbeat_sent_at: int
-    stored_version: int  # -1: it has not stored what this term has proposed
+    heartbeat_sent_at: int  # `sent_at` of the heartbeat
+    stored_version: int  # -1: the node has not stored a proposal of this term
     applied_version: int
-    sent_at: int  # by the replying node's clock
-    voting: bool
-    intact: bool  # it has forgotten nothing that it acknowledged
-    outliers: list[str] = []  # backends that this node has ejected by itself
-    demand: list[tuple[int, float]] = []  # rates by limit
-    returns_grants: bool = False  # it uses no grant until it says otherwise
-    lends: bool = False  # it uses no guaranteed share for a while from now on
+    sent_at: int  # on the replying node's clock
+    voting: (
+        bool  # whether the node is a voter after its initial silence, so that the reply renews its promise
+    )
+    intact: bool  # whether the voter still has everything that it acknowledged
+    outliers: list[str] = []  # backends that this node has ejected by its own detection
+    demand: list[tuple[int, float]] = []  # requested rates by limit
+    returns_grants: bool = False  # the node uses no grant until a later reply
+    lends: bool = False  # the node does not use its guaranteed rate for the duration of a loan
 
 
 class SetRequest(msgspec.Struct, array_like=True, tag=8):
-    """Asks for a verdict set, or for the chunks of it that are missing."""
+    """Requests a verdict set, or the chunks of it that are missing."""
 
     version: int
     digest: bytes
@@ -119,17 +121,17 @@
 
 
 class SetDelta(msgspec.Struct, array_like=True, tag=9):
-    """Changes that lead from one verdict set to a later one."""
+    """The changes from one verdict set to a later one."""
 
     term: int
     version: int
     digest: bytes
-    base: bytes  # digest of the set that they build on
+    base: bytes  # digest of the set to which the changes are applied
     steps: list[list[Verdict]]  # one list for each version
 
 
 class SetChunk(msgspec.Struct, array_like=True, tag=10):
-    """A part of a snapshot of a verdict set."""
+    """One chunk of a snapshot of a verdict set."""
 
     version: int
     digest: bytes
@@ -139,11 +141,11 @@
 
 
 class OperatorCall(msgspec.Struct, array_like=True, tag=11):
-    """An operator's call, passed to the leader. Without changes it asks for the status."""
+    """An operator's call, forwarded to the leader. A call without changes requests the status."""
 
     call_id: int
     changes: list[Verdict]
-    remaining: int  # for how long an answer is still waited for
+    remaining: int  # how long the sender still waits for an answer
 
 
 class OperatorReply(msgspec.Struct, array_like=True, tag=12):
@@ -154,7 +156,7 @@
 
 
 class Ping(msgspec.Struct, array_like=True, tag=13):
-    """A probe. With a `target` other than the recipient it asks the recipient to probe that member."""
+    """A probe. If `target` is another member, the recipient is requested to probe that member."""
 
     number: int
     target: str
@@ -162,7 +164,7 @@
 
 
 class Ack(msgspec.Struct, array_like=True, tag=14):
-    """Answers a probe."""
+    """The answer to a probe of `target`."""
 
     number: int
     target: str
@@ -189,7 +191,7 @@
 
 
 class Envelope(msgspec.Struct, array_like=True):
-    """A message with the incarnations that it is from and for."""
+    """A message with the names and incarnations of its sender and recipient."""
 
     sender: str
     incarnation: int
@@ -203,15 +205,18 @@
 
 
 def encode(key: bytes, envelope: Envelope) -> bytes:
-    """The datagram. Raises MessageError for an envelope that no datagram holds."""
+    """Returns the datagram. Raises MessageError if the envelope does not fit into one."""
     data = seal(key, ENCODE(envelope))
     if len(data) > MAX_DATAGRAM_BYTES:
-        raise MessageError(f"{type(envelope.message).__name__} of {len(data) - CHECKSUM_BYTES} bytes")
+        raise MessageError(
+            f"{type(envelope.message).__name__} of {len(data) - CHECKSUM_BYTES} bytes, "
+            f"at most {MAX_DATAGRAM_BYTES - CHECKSUM_BYTES} fit in a datagram"
+        )
     return data
 
 
 def decode(key: bytes, data: bytes) -> Envelope:
-    """The envelope. Raises MessageError for what no node of this fleet, with this file, has written."""
+    """Returns the envelope. Raises MessageError for a datagram not sent by a node with this fleet's file."""
     if not CHECKSUM_BYTES < len(data) <= MAX_DATAGRAM_BYTES:
         raise MessageError("not of a length that occurs")
     return open_sealed(key, data, DECODER)
--- a/basalthoist/message_envelope.py
+++ b/basalthoist/message_envelope.py
@@ -1,4 +1,4 @@
-"""A keyed checksum before an encoded message: tells damage and other fleets' messages from its own."""
+"""A keyed checksum before an encoded message: detects corruption and messages of other fleets."""
 
 from hashlib import blake2b
 from typing import TypeVar
@@ -11,20 +11,20 @@
 
 
 class MessageError(ValueError):
-    """A message that cannot be sent, or that no process of this fleet has written."""
+    """A message that cannot be sent, or that was not written by a process of this fleet."""
 
 
 def seal(key: bytes, payload: bytes) -> bytes:
-    """`payload` behind its checksum."""
+    """Returns `payload` after its checksum."""
     return blake2b(payload, digest_size=CHECKSUM_BYTES, key=key).digest() + payload
 
 
 def open_sealed(key: bytes, sealed: bytes, decoder: msgspec.msgpack.Decoder[MessageT]) -> MessageT:
-    """The message in `sealed`. Raises MessageError where the checksum or the payload's form is another."""
+    """Returns the message in `sealed`. Raises MessageError for a wrong checksum or an unknown format."""
     checksum, payload = sealed[:CHECKSUM_BYTES], sealed[CHECKSUM_BYTES:]
     if blake2b(payload, digest_size=CHECKSUM_BYTES, key=key).digest() != checksum:
         raise MessageError("damaged, or of another fleet or file")
     try:
         return decoder.decode(payload)
     except (msgspec.DecodeError, RecursionError) as error:
-        raise MessageError(f"of another version: {error}") from None
+        raise MessageError(f"payload cannot be decoded, perhaps of another version: {error}") from None
--- a/basalthoist/net/runtime/__init__.py
+++ b/basalthoist/net/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What every part of the process uses: clocks, timers, log, budgets of descriptors and memory, disk."""
+"""Parts that the whole process uses: clocks, timers, log, descriptor and memory budgets, disk worker."""
--- a/basalthoist/net/runtime/atomic_files.py
+++ b/basalthoist/net/runtime/atomic_files.py
@@ -1,4 +1,4 @@
-"""Files that are replaced atomically, or appended to with all of a record or none of it."""
+"""Files that are replaced atomically, and files to which a record is appended completely or not at all."""
 
 import os
 from contextlib import suppress
@@ -7,7 +7,7 @@
 
 
 class StorageError(TaskError):
-    """`operation` on the file at `path` has failed. Its text is the cause alone, as the log gives it."""
+    """`operation` on the file at `path` has failed. The error's text is only the cause, for the log."""
 
     def __init__(self, operation: str, path: str, cause: str) -> None:
         super().__init__(cause)
@@ -17,9 +17,9 @@
 
 
 def write_atomically(path: str, data: bytes, synced: bool = False) -> None:
-    """Replaces the file at `path`; with `synced` it returns once the data are on the disk.
+    """Replaces the file at `path`. With `synced`, returns only after the data are on the disk.
 
-    Raises StorageError; the file is then as it was.
+    Raises StorageError, and then leaves the file unchanged.
     """
     stem = os.path.splitext(path)[0]
     remove_abandoned_files(stem)
@@ -40,7 +40,7 @@
 
 
 def sync_directory(path: str) -> None:
-    """Guards against a machine that comes back with the name still on the old file."""
+    """Syncs the directory of `path`. Guards against a machine crash that undoes the rename of a file."""
     directory = os.open(os.path.dirname(path) or ".", os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(directory)
@@ -49,41 +49,41 @@
 
 
 def remove_abandoned_files(stem: str) -> None:
-    """Guards against temporary files of processes that were killed as they wrote, which would stay."""
+    """Removes temporary files left by processes that were killed while they wrote the file."""
     directory, name = os.path.split(stem)
     with suppress(OSError):
         for found in os.listdir(directory or "."):
-            base, _, ending = found.rpartition(".")
-            if base == name and ending.isdigit() and not os.path.exists(f"/proc/{ending}"):
+            base, _, process_id = found.rpartition(".")
+            if base == name and process_id.isdigit() and not os.path.exists(f"/proc/{process_id}"):
                 os.unlink(os.path.join(directory, found))
 
 
 def append_durably(path: str, data: bytes) -> None:
-    """Appends all of `data` and syncs it. Raises StorageError; the file is then cut back to what it was."""
+    """Appends `data` and syncs it. Raises StorageError, after truncating the file to its previous length."""
     length_before = -1
     try:
         with open(path, "ab", buffering=0) as file:
             length_before = file.tell()
             if file.write(data) != len(data):
-                raise OSError("written in part")
+                raise OSError(f"short write of a record of {len(data)} bytes")
             os.fsync(file.fileno())
     except OSError as error:
         if length_before >= 0:
-            # Guards against a reader that stops at a torn write and misses what is written behind it.
+            # Guards against a reader that stops at an incomplete record and misses later records.
             try:
                 os.truncate(path, length_before)
             except OSError as second_error:
-                cause = f"{error}; a torn piece stays: {second_error}"
+                cause = f"{error}; incomplete record not removed: {second_error}"
                 raise StorageError("append", path, cause) from error
         raise StorageError("append", path, str(error)) from error
 
 
 class AppendOnlyFile:
-    """A log file that is replaced now and then and appended to in between, by one thread."""
+    """A file of records, used by one thread: records are appended, and sometimes all of them are replaced."""
 
     def __init__(self, path: str | None) -> None:
         self.path: str | None = path
-        self.has_gap: bool = False  # a record is missing at its end, and nothing may follow it
+        self.has_gap: bool = False  # whether a record is missing at the end, so that none may follow
 
     def replace(self, data: bytes) -> None:
         """Replaces all records. Raises StorageError."""
@@ -92,10 +92,10 @@
         self.has_gap = False
 
     def append(self, record: bytes) -> None:
-        """Appends a record. Raises StorageError, also where one before it is missing."""
-        # Guards against a record behind a missing one: a reader would take it for the next.
+        """Appends a record. Raises StorageError, also if a previous record is missing."""
+        # Guards against a reader that takes a record after a missing one for the next in order.
         if self.has_gap:
-            raise StorageError("append", self.path, "not written behind a piece that is missing")
+            raise StorageError("append", self.path, "not written after a missing record")
         self.has_gap = True
         append_durably(self.path, record)
         self.has_gap = False
--- a/basalthoist/net/runtime/descriptors.py
+++ b/basalthoist/net/runtime/descriptors.py
@@ -1,4 +1,4 @@
-"""One budget for all file descriptors, so that the process never runs out of them."""
+"""A budget for all file descriptors of the process, so that it never reaches the system's limit."""
 
 import asyncio
 import select
@@ -6,55 +6,58 @@
 import struct
 from collections.abc import Callable
 
-TCP_INFO_SIZE = 56  # bytes of Linux' struct tcp_info up to the field that is read
+TCP_INFO_BYTES = 56  # of struct tcp_info on Linux, up to the end of tcpi_last_data_recv
 LAST_RECEIVED = struct.Struct("I")  # tcpi_last_data_recv, in milliseconds
 LAST_RECEIVED_OFFSET = 52
-LEAST_DELAY_MS = 10  # the kernel counts by its ticks
-MOST_DELAY_MS = 60_000
+MIN_DELAY_MS = 10  # the kernel's clock has the resolution of its ticks
+MAX_DELAY_MS = 60_000
 
-Reclaimer = Callable[[], bool]  # closes an idle connection; False where there is none
+Reclaimer = Callable[[], bool]  # closes an idle connection, or returns False if there is none
 
 
 def is_ready(descriptor: int, events: int) -> bool:
-    """Whether a descriptor has any of these poll events, or has ended, without waiting."""
+    """Returns without waiting whether a descriptor has any of these poll events, an error or a hang-up."""
     poller = select.poll()
     poller.register(descriptor, events)
     return bool(poller.poll(0))
 
 
 def has_ended(transport: asyncio.Transport, events: int = 0) -> bool:
-    """Whether a connection is broken, or has any of these poll events, though it may not have been read."""
+    """Returns whether a connection is closing or has any of these poll events, even if not processed yet."""
     return transport.is_closing() or is_ready(descriptor_of(transport), events)
 
 
 def descriptor_of(transport: asyncio.Transport) -> int:
-    """The file descriptor of a transport's socket."""
+    """Returns the file descriptor of a transport's socket."""
     return transport.get_extra_info("socket").fileno()
 
 
 def receive_buffer_delay(transport: asyncio.Transport) -> int:
-    """Tenths of a millisecond for which what is read now lay in the kernel's buffer; 0 for a moment."""
-    # Guards against a node that stood still and then believes that a request was sent only now.
+    """Returns for how many tenths of a millisecond the data read now waited in the kernel's buffer.
+
+    Returns 0 for delays too short to measure, implausibly long ones, and where the kernel does not tell.
+    """
+    # Guards against a process that was suspended and then takes a waiting request for a new one.
     try:
         sock = transport.get_extra_info("socket")
-        info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_SIZE)
+        info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
     except OSError:
         return 0
-    if len(info) < TCP_INFO_SIZE:
+    if len(info) < TCP_INFO_BYTES:
         return 0
     (delay_ms,) = LAST_RECEIVED.unpack_from(info, LAST_RECEIVED_OFFSET)
-    return delay_ms * 10 if LEAST_DELAY_MS <= delay_ms < MOST_DELAY_MS else 0
+    return delay_ms * 10 if MIN_DELAY_MS <= delay_ms < MAX_DELAY_MS else 0
 
 
 class DescriptorBudget:
-    """`limit` descriptors may be in use, and part of `reserve` beyond it by clients that get a rejection.
+    """Limits the descriptors of connections to `limit`, and allows some of `reserve` more for rejections.
 
-    `own` of the reserve is each process's, for loop, listeners, log and discovery; half the rest is for
-    rejections.
+    Of the reserve each process needs `own` descriptors itself, for event loop, listeners, log and discovery.
+    Half of the rest is for connections of clients that only receive a rejection.
     """
 
     def __init__(self, limit: int, reserve: int = 0, own: int = 0) -> None:
-        self.total: int = limit  # of all processes of the node
+        self.total: int = limit  # for all processes of the node together
         self.reserve: int = reserve
         self.own: int = own
         self.used: int = 0
@@ -62,41 +65,44 @@
         self.set_process_count(1)
 
     def set_process_count(self, processes: int) -> None:
-        """So many processes share the budget from now on; beyond this one's part idle connections close."""
-        # Guards against a small budget of which the processes themselves need more than was kept back.
+        """Divides the budget by the number of processes, and closes idle connections above the new limit."""
+        # Guards against a small budget: the processes themselves may need more than the reserve.
         spare = self.reserve - self.own * processes
         self.limit: int = max(self.total + min(spare, 0), processes) // processes
-        # Each process has some of it for itself.
+        # Beyond the limit each process has some descriptors for rejections.
         self.hard_limit: int = self.limit + max(spare // 2 // processes**2, 0)
         self.shrink_to_limit()
 
     def shrink_to_limit(self) -> None:
-        """Closes what is idle beyond this process's part; repeated, as more becomes idle later."""
-        shared = self.limit < self.total
-        while shared and self.used > self.limit and self.reclaim(lambda: False):
+        """Closes idle connections above the limit. Called repeatedly, as connections become idle later."""
+        is_divided = self.limit < self.total
+        while is_divided and self.used > self.limit and self.reclaim(lambda: False):
             pass
 
     def acquire(self, own: Reclaimer, keep_free: int = 0) -> bool:
-        """Takes one, at the limit in place of an idle connection, `own` first. False: there is none."""
-        # Guards against EMFILE, at which an accepted connection, and what it carries, would be dropped.
+        """Takes a descriptor; at the limit, only by closing an idle connection, with `own` first.
+
+        Leaves `keep_free` descriptors below the limit for other purposes. Returns False if none is available.
+        """
+        # Guards against EMFILE, at which an accepted connection and its requests would be dropped.
         if self.used >= self.limit - keep_free and not self.reclaim(own):
             return False
         self.used += 1
         return True
 
     def reclaim(self, own: Reclaimer) -> bool:
-        """Closes one idle connection, by `own` before the others. False: there is none."""
+        """Closes one idle connection, by `own` before the other reclaimers. Returns False if there is none."""
         reclaimers = sorted(self.reclaimers, key=lambda reclaimer: reclaimer != own)
         return any(reclaimer() for reclaimer in reclaimers)
 
     def acquire_over_limit(self) -> None:
-        """Takes one whatever is in use."""
+        """Takes a descriptor even above the limit."""
         self.used += 1
 
     def is_exhausted(self) -> bool:
-        """Whether not even a rejection can have one."""
+        """Returns whether no descriptor is left, not even for a rejection."""
         return self.used >= self.hard_limit
 
     def release(self) -> None:
-        """Gives one back."""
+        """Returns a descriptor to the budget."""
         self.used -= 1
--- a/basalthoist/net/runtime/log.py
+++ b/basalthoist/net/runtime/log.py
@@ -1,4 +1,4 @@
-"""Log lines on standard error."""
+"""The process's log on standard error, with a limit on lines per second."""
 
 import select
 import sys
@@ -7,18 +7,18 @@
 
 from basalthoist.net.runtime.descriptors import is_ready
 
-MOST_CHARACTERS = 1000  # of a line
+MAX_LINE_CHARACTERS = 1000
 
 
 class Log:
-    """Prints at most `per_second` lines each second and says how many it left out."""
+    """Prints at most `per_second` lines per second, and reports how many lines were left out."""
 
     def __init__(self, name: str, per_second: int) -> None:
         self.name: str = name
         self.per_second: int = per_second
-        self.second: int = 0  # of the monotonic clock, in which lines are counted
-        self.printed: int = 0  # in that second
-        self.left_out: int = 0  # since it was last said
+        self.second: int = 0  # the current second of the monotonic clock
+        self.printed: int = 0  # lines in the current second
+        self.left_out: int = 0  # lines left out since the last report
 
     def __call__(self, line: str) -> None:
         """Prints a line, or counts it as left out."""
@@ -32,17 +32,17 @@
             self.left_out += 1
             return
         self.printed += 1
-        self.write(line[:MOST_CHARACTERS])
+        self.write(line[:MAX_LINE_CHARACTERS])
 
     def is_writable(self) -> bool:
-        """Guards against a log that is not read: a full pipe would hold up the node."""
+        """Returns whether a line can be written. Guards against blocking on a full pipe that nobody reads."""
         try:
             return is_ready(sys.stderr.fileno(), select.POLLOUT)
         except (OSError, ValueError, AttributeError):
-            return True  # no descriptor to ask: not a pipe
+            return True  # Standard error has no descriptor, so it is no pipe that could block.
 
     def write(self, line: str) -> None:
-        """Prints a line with the node's name."""
-        # Guards against a log that nobody reads any more: a closed pipe must not end a request.
+        """Prints a line after the node's name."""
+        # Guards against a closed pipe: an error here must not end a request.
         with suppress(OSError, ValueError):
             print(f"{self.name}: {line}", file=sys.stderr, flush=True)
--- a/basalthoist/net/runtime/memory_budget.py
+++ b/basalthoist/net/runtime/memory_budget.py
@@ -1,38 +1,38 @@
-"""One budget for the bytes that all connections hold together."""
+"""A budget for the bytes that all connections of the process buffer together."""
 
 import os
 from contextlib import suppress
 
-BUFFER_SHARE = 0.6  # of the memory that is left: buffers take more of it than their bytes
+BUFFER_FRACTION = 0.6  # of the remaining memory, because buffers take more memory than the bytes in them
 BYTES_PER_MB = 1 << 20
 
 
 def resident_bytes() -> int:
-    """Bytes of memory that the process takes now; 0 where the system does not say."""
+    """Returns the resident memory of the process in bytes, or 0 if it is unknown."""
     with suppress(OSError, ValueError, IndexError), open("/proc/self/statm") as file:
         return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE")
     return 0
 
 
 class MemoryBudget:
-    """At most `limit` bytes may be held. What the process takes when it gets ready counts as gone."""
+    """Allows `limit` bytes in buffers. Memory in use when the process becomes ready is not available."""
 
     def __init__(self, memory_mb: float) -> None:
-        self.total: int = int(memory_mb * BYTES_PER_MB)
+        self.total: int = int(memory_mb * BYTES_PER_MB)  # bytes for all processes of the node
         self.processes: int = 1
         self.exceeded: bool = False
-        self.baseline: int = 0  # bytes that the process took when it got ready
-        self.used: int = 0  # bytes: exact at each sweep, with what has come since
+        self.baseline: int = 0  # resident bytes when the process became ready
+        self.used: int = 0  # buffered bytes: exact at each sweep, plus the bytes received since
 
     def measure_baseline(self) -> None:
-        """Once the process is ready: what it takes by then stays."""
+        """Records the resident memory once the process is ready, as that memory stays in use."""
         self.baseline = resident_bytes()
 
     def set_process_count(self, processes: int) -> None:
-        """So many processes use the memory from now on."""
+        """Sets the number of processes that share the memory from now on."""
         self.processes = processes
 
     @property
     def limit(self) -> float:
-        """Bytes that may be held here."""
-        return max(self.total / self.processes - self.baseline, self.total / 10) * BUFFER_SHARE
+        """The bytes that this process may buffer."""
+        return max(self.total / self.processes - self.baseline, self.total / 10) * BUFFER_FRACTION
--- a/basalthoist/net/runtime/timers.py
+++ b/basalthoist/net/runtime/timers.py
@@ -7,22 +7,22 @@
 
 SECOND = 10_000
 NANOSECONDS_PER_TENTH = 100_000
-STALL = 50  # the loop's timers are at most two milliseconds late where nothing held it up
+STALL_THRESHOLD = 50  # without a stall, the event loop's timers are at most 2 ms late
 NEVER = 1 << 62
 
 
 def now() -> int:
-    """The monotonic clock."""
+    """Returns the time of the monotonic clock."""
     return time.monotonic_ns() // NANOSECONDS_PER_TENTH
 
 
 def boot_time_now() -> int:
-    """CLOCK_BOOTTIME, which also counts while the machine sleeps: for leases. Never joined with `now`."""
+    """Returns CLOCK_BOOTTIME, for leases: it also counts while the machine sleeps. Not comparable to `now`."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // NANOSECONDS_PER_TENTH
 
 
 class Timer:
-    """One callback that is due."""
+    """A scheduled callback."""
 
     __slots__ = ("callback",)
 
@@ -30,26 +30,26 @@
         self.callback: Callable[[], None] | None = callback
 
     def stop(self) -> None:
-        """The callback is not called any more."""
+        """Cancels the callback."""
         self.callback = None
 
 
 class Timers:
-    """One heap for everything due, behind a single timer of the event loop.
+    """A heap of timers that uses a single timer of the event loop.
 
-    The loop's own timers count whole milliseconds and may fire up to one early; what is due here never is.
+    The event loop's timers have a resolution of 1 ms and may fire up to 1 ms early; timers here never do.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, log: Callable[[str], None]) -> None:
         self.loop: asyncio.AbstractEventLoop = loop
         self.log: Callable[[str], None] = log
-        self.due: list[tuple[int, int, Timer]] = []  # a heap: time, order of the calls, timer
+        self.due: list[tuple[int, int, Timer]] = []  # a heap of due time, sequence number and timer
         self.sequence: int = 0
         self.armed_for: int = 0
         self.handle: asyncio.TimerHandle | None = None
 
     def after(self, delay: int, callback: Callable[[], None]) -> Timer:
-        """Calls `callback` once, after `delay` tenths."""
+        """Calls `callback` once, after `delay` tenths of a millisecond."""
         timer, when = Timer(callback), now() + delay
         self.sequence += 1
         heappush(self.due, (when, self.sequence, timer))
@@ -58,16 +58,16 @@
         return timer
 
     def every(self, period: int, callback: Callable[[], None]) -> None:
-        """Calls `callback` again and again, `period` tenths apart."""
+        """Calls `callback` repeatedly, every `period` tenths of a millisecond."""
 
-        def again() -> None:
-            self.after(period, again)
+        def repeat() -> None:
+            self.after(period, repeat)
             callback()
 
-        self.after(period, again)
+        self.after(period, repeat)
 
     def arm(self) -> None:
-        """Sets the loop's timer for what is due first."""
+        """Sets the event loop's timer for the earliest timer in the heap."""
         if self.handle is not None:
             self.handle.cancel()
             self.handle = None
@@ -79,9 +79,9 @@
             self.handle = self.loop.call_later(-(-wait // 10) / 1000, self.fire)
 
     def fire(self, input_read: bool = False) -> None:
-        """Calls all that is due."""
-        # Guards against a process that stood still: what came meanwhile is read before it is judged late.
-        if not input_read and self.due and now() - self.due[0][0] > STALL:
+        """Calls all callbacks that are due."""
+        # Guards against timeouts after a stall of the process: input that arrived meanwhile is read first.
+        if not input_read and self.due and now() - self.due[0][0] > STALL_THRESHOLD:
             self.armed_for = 0
             self.handle = self.loop.call_later(0.001, self.fire, True)
             return
@@ -89,7 +89,7 @@
         while self.due and self.due[0][0] <= now():
             callback = heappop(self.due)[2].callback
             if callback is not None:
-                # Guards against one failing callback that leaves everything due after it undone.
+                # Guards against one failing callback that keeps later ones from being called.
                 try:
                     callback()
                 except Exception as error:
