--- a/basalthoist/fleet/election.py
+++ b/basalthoist/fleet/election.py
@@ -75,7 +75,7 @@
         if len(intact) >= self.promises.quorum:
             best = max(intact)
         elif len(votes) == len(self.voters):
-            # Every voter has answered, so no later set can be stored at any of them.
+            # All voters have answered, so this is the latest set that is left at any of them.
             best = max(votes.values(), key=lambda vote: vote[:2])
         else:
             return None
--- a/basalthoist/fleet/replica.py
+++ b/basalthoist/fleet/replica.py
@@ -269,7 +269,7 @@
         in_progress = self.leader.calls
         if not call.changes:
             return in_progress.answer(name, call.call_id, f"SUCCESS {self.status(now)}")
-        # An open proposal may be lost with this leader, so this call's changes wait until it is committed.
+        # An open proposal may be lost with this leader, so the answer also waits for its commit.
         is_proposing = self.leader.committed != self.sets.stored.version
         if in_progress.take(now, name, call, self.leader):
             if not is_proposing:
--- a/basalthoist/fleet/wire.py
+++ b/basalthoist/fleet/wire.py
@@ -68,7 +68,7 @@
 
 
 class VoteRefused(msgspec.Struct, array_like=True, tag=4):
-    """A voter's refusal: it has promised another term, or a higher one."""
+    """A voter's refusal: its promise to another candidate or leader runs, or it requires a higher term."""
 
     term: int  # the lowest term that the voter accepts
     remaining: int  # how long the voter's promise still runs
--- a/basalthoist/net/runtime/descriptors.py
+++ b/basalthoist/net/runtime/descriptors.py
@@ -91,7 +91,7 @@
         return True
 
     def reclaim(self, own: Reclaimer) -> bool:
-        """Closes one idle connection, by `own` before the other reclaimers. Returns False if there is none."""
+        """Closes one idle connection, by `own` before the others. Returns False if there is none."""
         reclaimers = sorted(self.reclaimers, key=lambda reclaimer: reclaimer != own)
         return any(reclaimer() for reclaimer in reclaimers)
 
--- a/basalthoist/net/runtime/timers.py
+++ b/basalthoist/net/runtime/timers.py
@@ -17,7 +17,7 @@
 
 
 def boot_time_now() -> int:
-    """Returns CLOCK_BOOTTIME, for leases: it also counts while the machine sleeps. Not comparable to `now`."""
+    """Returns the time of CLOCK_BOOTTIME, for leases: it includes time asleep. Not comparable to `now`."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // NANOSECONDS_PER_TENTH
 
 
