--- a/tests/test_wire_forms.py
+++ b/tests/test_wire_forms.py
@@ -1,6 +1,6 @@
-"""Bytes that revision 6304284 wrote, to other nodes and into files: they are read, and written alike.
+"""Tests that the formats on the wire and in files stay compatible with those of revision 6304284.
 
-Hex and text below came from runs of that revision's own code. Where a name changes here, the bytes must not.
+The hex and text below were written by that revision's own code. Names here may change, the bytes must not.
 """
 
 import socket
@@ -12,7 +12,7 @@
 from basalthoist import gossip_codec as gossip
 from basalthoist.configuration import FleetDocument
 from basalthoist.decisions.interface import GossipKind, Outcome
-from basalthoist.distribution import store as stored
+from basalthoist.distribution import store
 from basalthoist.distribution import wire as stream
 from basalthoist.distribution.catalogue import Catalogue, Change, Entry
 from basalthoist.distribution.register_head import RegisterHead
@@ -26,8 +26,8 @@
 from basalthoist.net.lifecycle.handover_connection import HandoverConnection, HandoverMessage
 from basalthoist.net.runtime.disk_worker import outcome_of
 
-# The word, and the datagram in which node-a's life 513 has sent it to node-b's life 514.
-LETTERS = [
+# Each message, and its datagram from node-a, incarnation 513, to node-b, incarnation 514.
+DATAGRAMS = [
     (
         fleet.HandshakeRequest(4503599627370495),
         "7a0bbd38085b6fa295a66e6f64652d61cd0201a66e6f64652d62cd02029200cf000fffffffffffff",
@@ -115,7 +115,7 @@
         "64652d64cd02010300",
     ),
 ]
-ENVELOPE_FIELDS = {
+DATAGRAM_FIELDS = {
     fleet.HandshakeRequest: "nonce",
     fleet.HandshakeReply: "nonce",
     fleet.VoteRequest: "term sent_at",
@@ -138,7 +138,7 @@
     Verdict: "kind subject on figure who why duration_s",
 }
 
-# The word, and its frame in the fleet named fleet-1.
+# Each message, and its frame in the fleet named fleet-1.
 FRAMES = [
     (
         stream.HandshakeRequest(
@@ -222,7 +222,7 @@
     ),
     (stream.OperatorReply(4242, "SUCCESS 301"), "00000019446c654001fab499930ecd1092ab5355434345535320333031"),
 ]
-FRAMES_FIELDS = {
+FRAME_FIELDS = {
     stream.HandshakeRequest: "name incarnation role region scopes version digest knows_tenants",
     stream.HandshakeReply: "name incarnation",
     stream.Redirect: "retry_after relays reason",
@@ -243,16 +243,16 @@
     Change: "version entries digest_before digest_after calls",
 }
 
-# Kinds: 0 sent, 1 in flight (with a figure of 0 to 252), 3 answered, 2 ejected.
+# Kinds: 0 sent, 1 in flight (with a value of 0 to 252), 2 ejected, 3 answered.
 GOSSIP = [(0, 258, 0), (1, 513, 0), (1, 65535, 252), (1, 0, 252), (3, 772, 0), (2, 1286, 0)]
 GOSSIP_DATA = "010102fe020100fffffc0000fc0304fd0506ff"
 
 BANNED, LISTED = ["backend-1", "käse"], ["backend-2", "backend-1", "käse"]
-KEPT = '{"banned":["backend-1","käse"],"listed":["backend-2","backend-1","käse"]}'
-# What one process of a node says to the next, and the line.
+MAINTENANCE_JSON = '{"banned":["backend-1","käse"],"listed":["backend-2","backend-1","käse"]}'
+# Each handover message between two processes of a node, and its line.
 LINES = [
     (HandoverMessage("node-a", "127.0.0.1:8080"), '{"node":"node-a","listen":"127.0.0.1:8080"}'),
-    (HandoverMessage("", "", MaintenanceState(BANNED, LISTED)), '{"kept":' + KEPT + "}"),
+    (HandoverMessage("", "", MaintenanceState(BANNED, LISTED)), '{"kept":' + MAINTENANCE_JSON + "}"),
     (HandoverMessage("", "", MaintenanceState([])), '{"kept":{"banned":[],"listed":[]}}'),
     (HandoverMessage("", "", None, True, True), '{"ready":true,"shares":true}'),
     (HandoverMessage("", "", None, True), '{"ready":true}'),
@@ -260,12 +260,12 @@
     (HandoverMessage("", "", None, False, False, "backend-1"), '{"name":"backend-1"}'),
 ]
 
-# A register's file: version 300 of the fleet named fleet-1, proposed under ballot 65537.
+# A replica's hint file: version 300 of the fleet named fleet-1, proposed in term 65537.
 VERDICTS = [
     Verdict("ban", "backend-1", True, 0.0, "ann", "too slow", 0.0),
     Verdict("quota", "customer-1", True, 2.5, "ann", "", 60.0),
 ]
-HINT = (
+HINT_FILE_HEX = (
     "72172a72d4d3458900d405763ae3162195a7666c6565742d31ce00010001cd012cc410d2c780131848fdf0617e6121d9"
     "befaf0c45a9297a362616ea96261636b656e642d31c3cb0000000000000000a3616e6ea8746f6f20736c6f77cb000000"
     "000000000097a571756f7461aa637573746f6d65722d31c3cb4004000000000000a3616e6ea0cb404e000000000000"
@@ -274,11 +274,12 @@
 "limits":[{"customer":"c-1","rate":5}]}"""
 FLEET_KEY = "863880906c9fd7c343af01b68c01b957"
 
-# A store's file: version 1, a change to 2 that is held, and behind it a change to 3; and a node's file.
+# A relay's store file with version 1 and a pending change to version 2, the record of a change to version 3,
+# and a node's file.
 ROUTE = Entry("route", "/api", "shop", {"to": "backends-1", "weight": 1.5})
 TENANT = Entry("tenant", "tenant-1", "", {"plan": "b"})
 LIMIT = Entry("limit", "l-1", "shop", {"rate": 5})
-WHOLE = (
+STORE_FILE = (
     "000000ee5b24961652a4058c9801bc0a3894686a97a7666c6565742d3101c42007e6f1646c9ebe455e34efada18ed873"
     "2293cf2f56bf63e33d56e601ddc2d7309295a5726f757465a42f617069a473686f7082a2746faa6261636b656e64732d"
     "31a6776569676874cb3ff8000000000000c395a674656e616e74a874656e616e742d31a081a4706c616ea162c39193a3"
@@ -286,12 +287,12 @@
     "455e34efada18ed8732293cf2f56bf63e33d56e601ddc2d730c420e905bbe1b402196e7b2e97fa873572885af8797174"
     "2331e6aa705c03b7837c569192a3626f6207"
 )
-STEP = (
+STORE_CHANGE = (
     "00000062bedc457bc541a4509c76c26e05d7d90b92ce0001000295039195a674656e616e74a874656e616e742d31a080"
     "c2c420e905bbe1b402196e7b2e97fa873572885af87971742331e6aa705c03b7837c56c420f54a71f21571fbaf37f548"
     "6e18d45adf4f2094dc00ae37c09128026c4db1332290"
 )
-NODE = (
+NODE_FILE = (
     "0000007f9211fb3a21a7b6bc1a9d6d6bd128be8d97ad666c6565742d31000073686f7002c420f54a71f21571fbaf37f5"
     "486e18d45adf4f2094dc00ae37c09128026c4db133229295a5726f757465a42f617069a473686f7082a2746faa626163"
     "6b656e64732d31a6776569676874cb3ff8000000000000c395a56c696d6974a36c2d31a473686f7081a47261746505c3"
@@ -303,186 +304,191 @@
     "f54a71f21571fbaf37f5486e18d45adf4f2094dc00ae37c09128026c4db13322",
 ]
 FILE_FIELDS = {
-    stored.StoredCatalogue: "fleet version digest entries calls term pending",
-    stored.StoredChange: "term change",
+    store.StoredCatalogue: "fleet version digest entries calls term pending",
+    store.StoredChange: "term change",
     Hint: "fleet term version digest data",
 }
 
 
-def named(cases):
+def with_ids(cases):
     return [pytest.param(*case, id=f"{number}-{type(case[0]).__name__}") for number, case in enumerate(cases)]
 
 
-def every_type(words, cases):
-    return set(words.__args__) == {type(word) for word, _ in cases}
+def covers_every_type(messages, cases):
+    return set(messages.__args__) == {type(message) for message, _ in cases}
 
 
-@pytest.mark.parametrize(("word", "data"), named(LETTERS))
-def test_a_letter_of_before_is_read_and_written_alike(word, data):
-    """Guards against a fleet in which nodes of two versions take each other's datagrams for damaged."""
-    letter = fleet.Envelope("node-a", 513, "node-b", 514, word)
-    assert fleet.decode(b"key", bytes.fromhex(data)) == letter
-    assert fleet.encode(b"key", letter).hex() == data
+@pytest.mark.parametrize(("message", "data"), with_ids(DATAGRAMS))
+def test_datagram_format_unchanged(message, data):
+    """Guards against nodes of two versions that drop each other's datagrams as corrupt."""
+    envelope = fleet.Envelope("node-a", 513, "node-b", 514, message)
+    assert fleet.decode(b"key", bytes.fromhex(data)) == envelope
+    assert fleet.encode(b"key", envelope).hex() == data
 
 
-@pytest.mark.parametrize(("kind", "fields"), ENVELOPE_FIELDS.items())
-def test_fields_of_a_letter_stay_in_their_order(kind, fields):
-    """Guards against two fields of one type that change places: they have no names on the wire."""
+@pytest.mark.parametrize(("kind", "fields"), DATAGRAM_FIELDS.items())
+def test_datagram_fields_in_unchanged_order(kind, fields):
+    """Guards against two fields of one type in swapped order: the wire format has no field names."""
     assert " ".join(kind.__struct_fields__) == fields
 
 
-def test_every_word_of_a_fleet_has_bytes_here():
-    """Guards against a new word whose form nothing holds."""
-    assert every_type(fleet.Message, LETTERS)
+def test_every_fleet_message_has_expected_bytes():
+    """Guards against a new message type whose format no test checks."""
+    assert covers_every_type(fleet.Message, DATAGRAMS)
 
 
-@pytest.mark.parametrize(("word", "data"), named(FRAMES))
-def test_a_frame_of_before_is_read_and_written_alike(word, data):
-    """Guards against a relay and a node of two versions that end each connection between them."""
+@pytest.mark.parametrize(("message", "data"), with_ids(FRAMES))
+def test_frame_format_unchanged(message, data):
+    """Guards against a relay and a node of two versions that close every connection between them."""
     key = stream.key_of("fleet-1")
-    assert stream.FrameDecoder(key).feed(bytes.fromhex(data)) == [word]
-    assert stream.encode(key, word).hex() == stream.encode(key, stream.EncodedMessage(word)).hex() == data
+    assert stream.FrameDecoder(key).feed(bytes.fromhex(data)) == [message]
+    assert (
+        stream.encode(key, message).hex() == stream.encode(key, stream.EncodedMessage(message)).hex() == data
+    )
 
 
-def test_frames_of_before_are_cut_from_a_stream():
-    """Guards against another length or checksum in front of a word, which would end every connection."""
+def test_frames_decoded_from_stream_in_small_reads():
+    """Guards against another length or checksum in front of a message, which would end every connection."""
     frames, data = (
         stream.FrameDecoder(stream.key_of("fleet-1")),
         bytes.fromhex("".join(data for _, data in FRAMES)),
     )
-    found = [word for at in range(0, len(data), 7) for word in frames.feed(data[at : at + 7])]
-    assert found == [word for word, _ in FRAMES]
+    found = [message for at in range(0, len(data), 7) for message in frames.feed(data[at : at + 7])]
+    assert found == [message for message, _ in FRAMES]
 
 
-@pytest.mark.parametrize(("kind", "fields"), FRAMES_FIELDS.items())
-def test_fields_of_a_frame_stay_in_their_order(kind, fields):
-    """Guards against two fields of one type that change places: they have no names on the wire."""
+@pytest.mark.parametrize(("kind", "fields"), FRAME_FIELDS.items())
+def test_frame_fields_in_unchanged_order(kind, fields):
+    """Guards against two fields of one type in swapped order: the wire format has no field names."""
     assert " ".join(kind.__struct_fields__) == fields
 
 
-def test_every_word_of_a_stream_has_bytes_here():
-    """Guards against a new word whose form nothing holds."""
-    assert every_type(stream.Message, FRAMES)
+def test_every_stream_message_has_expected_bytes():
+    """Guards against a new message type whose format no test checks."""
+    assert covers_every_type(stream.Message, FRAMES)
 
 
-def test_gossip_of_before_is_read_and_written_alike():
-    """Guards against a kind of gossip that gets another's number or mark, which a peer takes for that one."""
-    words = [(GossipKind(kind), key, figure) for kind, key, figure in GOSSIP]
+def test_gossip_format_unchanged():
+    """Guards against a kind of gossip with the number or marker byte of another kind, which peers misread."""
+    messages = [(GossipKind(kind), key, figure) for kind, key, figure in GOSSIP]
     found = gossip.decode(bytes.fromhex(GOSSIP_DATA))
-    assert found == words and all(type(kind) is GossipKind for kind, _, _ in found)
-    assert gossip.encode(words).hex() == GOSSIP_DATA
-    # Figures that have no place in a byte, and those of words that have none, are written so too.
-    odd = [(0, 258, 9), (1, 513, -1), (1, 65535, 252), (1, 0, 400), (3, 772, 1), (2, 1286, 7)]
-    assert gossip.encode([(GossipKind(kind), key, figure) for kind, key, figure in odd]).hex() == GOSSIP_DATA
+    assert found == messages and all(type(kind) is GossipKind for kind, _, _ in found)
+    assert gossip.encode(messages).hex() == GOSSIP_DATA
+    # Values out of a byte's range, and values of kinds without one, are encoded in the same way.
+    out_of_range = [(0, 258, 9), (1, 513, -1), (1, 65535, 252), (1, 0, 400), (3, 772, 1), (2, 1286, 7)]
+    assert (
+        gossip.encode([(GossipKind(kind), key, figure) for kind, key, figure in out_of_range]).hex()
+        == GOSSIP_DATA
+    )
     assert {int(kind) for kind in GossipKind} == {kind for kind, _, _ in GOSSIP}
 
 
-def maintenance(folder, said):
-    def at_once(work, answer):
-        answer(outcome_of(work))
+def maintenance(folder, log_lines):
+    def run_now(task, on_done):
+        on_done(outcome_of(task))
 
-    return Maintenance(str(folder), said.append, lambda name, banned: None, at_once)
+    return Maintenance(str(folder), log_lines.append, lambda name, banned: None, run_now)
 
 
-def test_a_file_of_bans_of_before_is_read_and_written_alike(tmp_path):
-    """Guards against a key of another name in the file: an upgrade would give clients to a banned backend."""
-    path, said, answers = tmp_path / "maintenance.json", [], []
-    path.write_bytes(KEPT.encode())
-    read = maintenance(tmp_path, said)
+def test_maintenance_file_format_unchanged(tmp_path):
+    """Guards against a renamed key in the file: after an upgrade a banned backend would receive requests."""
+    path, log_lines, answers = tmp_path / "maintenance.json", [], []
+    path.write_bytes(MAINTENANCE_JSON.encode())
+    read = maintenance(tmp_path, log_lines)
     read.read()
     assert sorted(read.banned) == BANNED and list(read.listed) == LISTED
-    assert len(said) == 2 and all("begins" in line for line in said)
+    assert len(log_lines) == 2 and all("begins" in line for line in log_lines)
 
     path.unlink()
-    written, spread = maintenance(tmp_path, []), []
-    written.publish = lambda name, banned: spread.append((name, banned))
+    written, published = maintenance(tmp_path, []), []
+    written.publish = lambda name, banned: published.append((name, banned))
     written.on_listed(LISTED)
     for name in reversed(BANNED):
         written.call(name, True, answers.append)
-    assert path.read_bytes() == KEPT.encode()
-    assert answers == ["", ""] and spread == [(name, True) for name in reversed(BANNED)]
+    assert path.read_bytes() == MAINTENANCE_JSON.encode()
+    assert answers == ["", ""] and published == [(name, True) for name in reversed(BANNED)]
 
 
-@pytest.mark.parametrize(("word", "line"), named(LINES))
-def test_a_line_of_before_between_two_processes_is_read_and_written_alike(word, line):
-    """Guards against a key of another name: unknown ones are passed over, so nothing is handed over."""
-    heard, ended = [], []
+@pytest.mark.parametrize(("message", "line"), with_ids(LINES))
+def test_handover_line_format_unchanged(message, line):
+    """Guards against a renamed key: unknown keys are ignored, so nothing would be handed over."""
+    received, ended = [], []
     loop = SimpleNamespace(add_reader=lambda sock, read: None, remove_reader=lambda sock: None)
     here, there = socket.socketpair()
     with there:
-        link = HandoverConnection(loop, here, lambda link, said: heard.append(said), ended.append)
+        link = HandoverConnection(loop, here, lambda link, message: received.append(message), ended.append)
         there.sendall(line.encode() + b"\n")
         link.read()
-        assert heard == [word] and not ended
-        link.send(word)
+        assert received == [message] and not ended
+        link.send(message)
         assert there.recv(4096) == line.encode() + b"\n"
         link.close()
 
 
-def test_a_registers_file_of_before_is_read_and_written_alike(tmp_path):
-    """Guards against a set of verdicts that is lost, or has another digest, once the program is another."""
+def test_hint_file_format_unchanged(tmp_path):
+    """Guards against a verdict set that is lost, or gets another digest, after an upgrade."""
     path, logged = tmp_path / "fleet.msgpack", []
 
-    def at_once(work, answer):
-        answer(outcome_of(work))
+    def run_now(task, on_done):
+        on_done(outcome_of(task))
 
-    hint_file = HintFile("fleet-1", str(tmp_path), at_once, logged.append)
-    path.write_bytes(bytes.fromhex(HINT))
-    stored = hint_file.read()
+    hint_file = HintFile("fleet-1", str(tmp_path), run_now, logged.append)
+    path.write_bytes(bytes.fromhex(HINT_FILE_HEX))
+    hint = hint_file.read()
     verdicts = {(one.kind, one.subject): one for one in VERDICTS}
-    assert (stored.term, stored.version, stored.verdicts) == (65537, 300, verdicts)
-    assert stored.digest.hex() == "d2c780131848fdf0617e6121d9befaf0"
+    assert (hint.term, hint.version, hint.verdicts) == (65537, 300, verdicts)
+    assert hint.digest.hex() == "d2c780131848fdf0617e6121d9befaf0"
     path.unlink()
     hint_file.store(VerdictSet(65537, 300, verdicts))
-    assert path.read_bytes().hex() == HINT and not logged
+    assert path.read_bytes().hex() == HINT_FILE_HEX and not logged
 
 
-def test_the_key_of_a_fleet_stays():
-    """Guards against bounds in another order: nodes of two versions would take each other for strangers."""
+def test_fleet_key_unchanged():
+    """Guards against bounds in another order: nodes of two versions would drop each other's datagrams."""
     assert msgspec.json.decode(FLEET, type=FleetDocument).key().hex() == FLEET_KEY
 
 
-def test_a_stores_file_of_before_is_read_and_written_alike():
-    """Guards against a relay that begins anew, or takes a change for another, once the program is another."""
+def test_store_file_format_unchanged():
+    """Guards against a relay that starts empty, or misreads a change, after an upgrade."""
     first, second, third = (bytes.fromhex(digest) for digest in DIGESTS)
     changes = [
         Change(1, [ROUTE, TENANT], bytes(32), first, [("ann", 4242)]),
         Change(2, [LIMIT], first, second, [("bob", 7)]),
         Change(3, [Entry("tenant", "tenant-1", "", {}, False)], second, third),
     ]
-    read = stored.Store.from_bytes("fleet-1", bytes.fromhex(WHOLE), 1 << 20)
+    read = store.Store.from_bytes("fleet-1", bytes.fromhex(STORE_FILE), 1 << 20)
     assert read.head == (1, first) and read.catalogue.all_entries() == [ROUTE, TENANT]
     assert (read.calls, read.term, read.pending) == ({("ann", 4242): 1}, 65537, changes[1])
-    read = stored.Store.from_bytes("fleet-1", bytes.fromhex(WHOLE + STEP), 1 << 20)
+    read = store.Store.from_bytes("fleet-1", bytes.fromhex(STORE_FILE + STORE_CHANGE), 1 << 20)
     assert read.head == (2, second) and read.catalogue.all_entries() == [ROUTE, LIMIT, TENANT]
     assert (read.calls, read.term) == ({("ann", 4242): 1, ("bob", 7): 2}, 65538)
     assert read.pending == changes[2]
 
-    written = stored.Store(1 << 20)
+    written = store.Store(1 << 20)
     assert written.propose(65537, changes[0]) and written.commit(1, first)
     assert written.propose(65537, changes[1])
-    assert written.to_bytes("fleet-1").hex() == WHOLE
+    assert written.to_bytes("fleet-1").hex() == STORE_FILE
     assert written.commit(2, second) and written.propose(65538, changes[2])
-    assert written.pending_record().hex() == STEP
+    assert written.pending_record().hex() == STORE_CHANGE
 
 
-def test_a_nodes_file_of_before_is_read_and_written_alike():
-    """Guards against a node that has nothing to go by after an upgrade until a relay answers."""
+def test_node_file_format_unchanged():
+    """Guards against a node without a catalogue after an upgrade, until a relay answers."""
     tag, made = "fleet-1\0\0shop", Catalogue(2, [ROUTE, LIMIT])
     assert made.digest().hex() == DIGESTS[2]  # without the tenant
-    read = stored.from_bytes(tag, bytes.fromhex(NODE))
+    read = store.from_bytes(tag, bytes.fromhex(NODE_FILE))
     assert (read.version, read.all_entries()) == (2, [ROUTE, LIMIT])
-    assert stored.to_bytes(tag, 2, made.entries_in(("shop",)), made.digest_of(("shop",))).hex() == NODE
+    assert store.to_bytes(tag, 2, made.entries_in(("shop",)), made.digest_of(("shop",))).hex() == NODE_FILE
 
 
 @pytest.mark.parametrize(("kind", "fields"), FILE_FIELDS.items())
-def test_fields_of_a_file_stay_in_their_order(kind, fields):
-    """Guards against two fields of one type that change places: they have no names in the file."""
+def test_file_fields_in_unchanged_order(kind, fields):
+    """Guards against two fields of one type in swapped order: the file has no field names."""
     assert " ".join(kind.__struct_fields__) == fields
 
 
-def test_a_filter_of_names_of_before_finds_them():
-    """Guards against names that are hashed to other bits: a node would say of a tenant that there is none."""
+def test_tenant_filter_format_unchanged():
+    """Guards against names hashed to other bits: a node would reject an existing tenant as unknown."""
     bits = [24, 106, 161, 335, 363, 500, 564, 637, 672, 774, 793, 901, 911, 1022]
     data = sum(1 << bit for bit in bits).to_bytes(128, "little")
     names = ["tenant-1", "tenant-2"]
@@ -498,24 +504,27 @@
         (0, False, b'{"site":"west","usable":0,"hot":false}'),
     ],
 )
-def test_a_gateways_answer_of_before_is_read_and_written_alike(usable, hot, data):
-    """Guards against a key of another name: each site would take the other's gateways for strangers."""
+def test_gateway_heartbeat_format_unchanged(usable, hot, data):
+    """Guards against a renamed key: each site would ignore the reports of the other's gateways."""
     at_west = SimpleNamespace(own_site="west", usable=lambda: usable, sites=SimpleNamespace(hot=lambda: hot))
     assert Links.report(at_west) == data
-    heard, logged = [], []
+    received, logged = [], []
     sites = SimpleNamespace(
-        on_heard=lambda at, name, report, trip: heard.append((name, report)),
-        on_failed=lambda at, name: heard.append((name, None)),
+        on_heard=lambda at, name, report, round_trip: received.append((name, report)),
+        on_failed=lambda at, name: received.append((name, None)),
     )
     at_east = SimpleNamespace(
-        sites=sites, site_of={"west/0": "west"}, log=logged.append, update_links=lambda: heard.append("shown")
+        sites=sites,
+        site_of={"west/0": "west"},
+        log=logged.append,
+        update_links=lambda: received.append("shown"),
     )
     Links.on_heartbeat_ended(at_east, "west/0", 0, Outcome.COMPLETED, SimpleNamespace(body=data))
-    assert heard == [("west/0", Report(usable, hot)), "shown"] and not logged
+    assert received == [("west/0", Report(usable, hot)), "shown"] and not logged
 
 
-def test_the_head_of_a_catalogue_in_a_register_stays():
-    """Guards against voters of two versions that see two heads, or none, of one catalogue."""
+def test_catalogue_head_verdict_unchanged():
+    """Guards against voters of two versions that find different heads of one catalogue, or none."""
     head = Verdict("head", "catalogue", True, 2.0, "author", DIGESTS[1], 0.0)
     leader = SimpleNamespace(queue=[], commit=lambda now: None)
     applied = SimpleNamespace(verdicts={("head", "catalogue"): head})
@@ -525,8 +534,8 @@
     assert leader.queue == [head]
 
 
-def test_marks_of_a_spilled_request_stay():
-    """Guards against a site of another version that does not know a spilled request and spills it again."""
+def test_spilled_request_headers_unchanged():
+    """Guards against a site of another version that spills an already spilled request again."""
     sites = SimpleNamespace(round_trip_to=lambda gateway: 30)
     at_west = SimpleNamespace(own_site="west", links={"site:east:0": "east/0"}, sites=sites)
     marks = b"Site-Hops: 1\r\nSite-From: west\r\n"
