--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -1,4 +1,4 @@
-"""System calls of the node that fail in the ways that their manual pages document. docs/terms-audit.md."""
+"""Tests with system calls that fail with the errors documented in their manual pages: docs/terms-audit.md."""
 
 import errno
 import json
@@ -17,7 +17,7 @@
 
 
 def cpu_s(program):
-    """Processor time of the program so far."""
+    """Returns the processor time of the program so far, in seconds."""
     with open(f"/proc/{program.process.pid}/stat") as file:
         fields = file.read().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
@@ -29,35 +29,35 @@
              "ENOPROTOOPT", "EHOSTDOWN", "ENONET", "EHOSTUNREACH", "EOPNOTSUPP", "ENETUNREACH")  # fmt: skip
 
 
-@pytest.mark.parametrize("door", ["clients", "operators"])
+@pytest.mark.parametrize("listener", ["clients", "operators"])
 @pytest.mark.parametrize("name", AT_ACCEPT)
-def test_while_accept_fails_no_core_is_spent_and_who_waited_is_answered(start, faults, door, name):
+def test_failing_accept_uses_little_cpu_and_waiting_client_answered_later(start, faults, listener, name):
     admin = own_address()
     program, _, _ = start(reply(), environment=faults.environment, admin=admin)
     wait_for(lambda: call(admin, "status") == "SUCCESS status\n")
-    # A call that does not wait is interrupted now and then, never for good.
+    # A call that does not block can be interrupted by a signal sometimes, but not forever.
     faults.set(accept_errno=getattr(errno, name), accept_left=1000 if name == "EINTR" else 0)
     before = cpu_s(program)
-    address = program.address if door == "clients" else address_of(admin)
+    address = program.address if listener == "clients" else address_of(admin)
     with socket.create_connection(address, timeout=10) as sock, sock.makefile("rb") as source:
-        sock.sendall(request() if door == "clients" else b"status\n")
+        sock.sendall(request() if listener == "clients" else b"status\n")
         time.sleep(0.7)
         spent = cpu_s(program) - before
         assert faults.get("accepts") > 0
         faults.clear()
         began = time.monotonic()
         first = source.readline()
-        assert first.startswith(b"HTTP/1.1 200" if door == "clients" else b"SUCCESS"), first
+        assert first.startswith(b"HTTP/1.1 200" if listener == "clients" else b"SUCCESS"), first
         assert time.monotonic() - began < 1.0
     assert spent < 0.25
 
 
-def closes(stand_in, sock, asked):
-    reply(Connection="close")(stand_in, sock, asked)
+def reply_and_close(stand_in, sock, received):
+    reply(Connection="close")(stand_in, sock, received)
     raise EOFError
 
 
-def ask_for(program, seconds, key):
+def send_requests(program, seconds, key):
     until, statuses = time.monotonic() + seconds, []
     while time.monotonic() < until:
         statuses.append(program.ask(request(ident=f"{key}-{len(statuses)}")).status)
@@ -67,12 +67,14 @@
 
 @pytest.mark.parametrize("call_name", ["connect", "socket"])
 @pytest.mark.parametrize("name", ["ENETUNREACH", "ENETDOWN", "EADDRNOTAVAIL", "ENFILE", "EACCES", "EPERM"])
-def test_no_backend_is_blamed_where_this_machine_cannot_connect(start, faults, call_name, name):
-    program, backends, _ = start(*[closes] * 4, environment=faults.environment)
-    ask_for(program, 0.3, "before")
+def test_no_backend_ejected_when_connect_fails_locally(start, faults, call_name, name):
+    program, backends, _ = start(*[reply_and_close] * 4, environment=faults.environment)
+    send_requests(program, 0.3, "before")
     faults.set(**{f"{call_name}_errno": getattr(errno, name)})
     found = []
-    clients = [threading.Thread(target=lambda n=n: found.extend(ask_for(program, 0.6, n))) for n in range(8)]
+    clients = [
+        threading.Thread(target=lambda n=n: found.extend(send_requests(program, 0.6, n))) for n in range(8)
+    ]
     for client in clients:
         client.start()
     for client in clients:
@@ -81,32 +83,32 @@
     assert set(found) <= {"200", "503"}
     assert "ejected s-" not in program.log()
     seen = [len(backend.seen) for backend in backends]
-    assert set(ask_for(program, 1.0, "after")[20:]) == {"200"}
+    assert set(send_requests(program, 1.0, "after")[20:]) == {"200"}
     assert all(len(backend.seen) > before + 5 for backend, before in zip(backends, seen, strict=True))
 
 
-class WholeListFirst(DiscoveryStandIn):
-    """A watch here begins with the whole list, whatever revision it was asked from."""
+class CompleteListFirst(DiscoveryStandIn):
+    """A discovery server whose watches begin with the complete list, whatever revision was requested."""
 
-    def answer(self, sock, asked):
-        super().answer(sock, asked)
-        if "stream=1" in asked.path:
+    def answer(self, sock, received):
+        super().answer(sock, received)
+        if "stream=1" in received.path:
             self.revision = getattr(self, "revision", 1) + 1
-            said = {"revision": self.revision, "complete": True, "members": self.members}
-            sock.sendall(chunk(json.dumps(said).encode() + b"\n"))
+            update = {"revision": self.revision, "complete": True, "members": self.members}
+            sock.sendall(chunk(json.dumps(update).encode() + b"\n"))
 
 
 @pytest.mark.parametrize("call_name", ["connect", "socket"])
 @pytest.mark.parametrize(
     "name", ["ENETUNREACH", "EHOSTUNREACH", "ETIMEDOUT", "ECONNREFUSED", "ENFILE", "EMFILE"]
 )
-def test_a_change_is_known_in_time_after_discovery_could_not_be_called(start, faults, call_name, name):
+def test_removed_backend_unused_after_discovery_was_unreachable(start, faults, call_name, name):
     one, two = StandIn(reply(200, b"one")), StandIn(reply(200, b"two"))
-    discovery = WholeListFirst([member("s-0", one), member("s-1", two)])
+    discovery = CompleteListFirst([member("s-0", one), member("s-1", two)])
     program, _, _ = start(one, two, agent=discovery, environment=faults.environment)
     wait_for(lambda: discovery.watches)
     faults.set(**{f"{call_name}_errno": getattr(errno, name)})
-    discovery.members = [member("s-1", two)]  # s-0 has gone
+    discovery.members = [member("s-1", two)]  # s-0 has been removed
     for sock in discovery.watches:
         sock.shutdown(socket.SHUT_RDWR)
     time.sleep(3.0)
@@ -118,13 +120,13 @@
     assert len(one.seen) == seen
 
 
-def test_short_reads_and_writes_change_nothing(start, faults):
+def test_request_and_response_complete_with_short_reads_and_writes(start, faults):
     body = b"x" * 5000
 
-    def echoes(stand_in, sock, asked):
-        reply(200, asked.body)(stand_in, sock, asked)
+    def echo(stand_in, sock, received):
+        reply(200, received.body)(stand_in, sock, received)
 
-    program, _, _ = start(echoes, environment=faults.environment)
+    program, _, _ = start(echo, environment=faults.environment)
     faults.set(short_bytes=7)
     assert program.ask(request("pay", body=body, timeout=5000)).body == body
 
@@ -139,49 +141,49 @@
 
 file, faults = AppendOnlyFile(sys.argv[1]), Faults.attached()
 
-def note(write, data):
-    wrong = ""
+def print_result(write, data):
+    failure = ""
     try:
         write(data)
     except StorageError as error:
-        wrong = str(error)
-    print(repr(wrong))
+        failure = str(error)
+    print(repr(failure))
     print(Path(file.path).read_bytes().decode())
 
-note(file.replace, b"first;")
+print_result(file.replace, b"first;")
 faults.set(torn_bytes=3, write_errno=errno.ENOSPC)
-note(file.append, b"second;")
+print_result(file.append, b"second;")
 faults.clear()
-note(file.append, b"third;")
-note(file.replace, b"first;second;third;")
+print_result(file.append, b"third;")
+print_result(file.replace, b"first;second;third;")
 faults.set(sync_errno=errno.EIO)
-note(file.append, b"fourth;")
-note(file.replace, b"all;")
+print_result(file.append, b"fourth;")
+print_result(file.replace, b"all;")
 faults.clear()
-note(file.replace, b"first;second;third;fourth;")
-note(file.append, b"fifth;")
+print_result(file.replace, b"first;second;third;fourth;")
+print_result(file.append, b"fifth;")
 """
 
 
-def test_what_stands_behind_an_append_that_failed_can_be_read(tmp_path, faults):
-    path = tmp_path / "kept"
+def test_file_readable_after_failed_append(tmp_path, faults):
+    path = tmp_path / "records"
     command = [sys.executable, "-c", APPENDS, str(path)]
     done = subprocess.run(command, env=os.environ | faults.environment, capture_output=True, text=True)
     assert done.returncode == 0, done.stderr
     lines = done.stdout.splitlines()
-    kept = [text == "''" for text in lines[::2]]
-    assert kept == [True, False, False, True, False, False, True, True]
-    three, four = "first;second;third;", "first;second;third;fourth;"
-    assert lines[1::2] == ["first;"] * 3 + [three] * 3 + [four, four + "fifth;"]
-
-
-def test_what_a_process_left_that_was_killed_as_it_wrote_is_removed(tmp_path):
-    done = subprocess.Popen(["true"])
-    done.wait()
-    left, ours = tmp_path / f"kept.{done.pid}", tmp_path / f"kept.{os.getpid()}"
-    left.write_bytes(b"half")
-    ours.write_bytes(b"another thread's")
+    succeeded = [text == "''" for text in lines[::2]]
+    assert succeeded == [True, False, False, True, False, False, True, True]
+    three_records, four_records = "first;second;third;", "first;second;third;fourth;"
+    assert lines[1::2] == ["first;"] * 3 + [three_records] * 3 + [four_records, four_records + "fifth;"]
+
+
+def test_temporary_file_of_killed_process_removed(tmp_path):
+    ended = subprocess.Popen(["true"])
+    ended.wait()
+    abandoned, in_use = tmp_path / f"file.{ended.pid}", tmp_path / f"file.{os.getpid()}"
+    abandoned.write_bytes(b"incomplete")
+    in_use.write_bytes(b"another thread's")
     other = tmp_path / "other.7"
     other.write_bytes(b"another file's")
-    write_atomically(str(tmp_path / "kept.json"), b"whole", synced=True)  # raises where it fails
-    assert sorted(path.name for path in tmp_path.iterdir()) == ["kept.json", "other.7"]
+    write_atomically(str(tmp_path / "file.json"), b"complete", synced=True)  # raises StorageError if it fails
+    assert sorted(path.name for path in tmp_path.iterdir()) == ["file.json", "other.7"]
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Who is there, in simulated time: nobody is accused for nothing, and who is gone is found."""
+"""Tests of the membership protocol in simulated time: false positives, detection times and refutations."""
 
 import pytest
 
@@ -11,30 +11,30 @@
 
 
 @pytest.mark.parametrize("count, loss, seconds", [(2, 0.0, 20), (5, 0.0, 20), (5, 0.3, 30), (50, 0.3, 30)])
-def test_nobody_is_accused_for_nothing_and_who_is_killed_is_found_by_all(count, loss, seconds):
+def test_no_false_positives_and_killed_member_detected_by_all(count, loss, seconds):
     fleet = MembershipFleet(count, 3, loss=loss)
     fleet.run(30)
     assert fleet.false_positives() == 0
-    since, fleet.nodes["n1"].alive = fleet.at, False
+    killed_at, fleet.nodes["n1"].alive = fleet.at, False
     fleet.run(seconds)
-    found = fleet.detection_times("n1", since)
-    assert len(found) == count - 1 and found[0] > 1.0
-    assert {found.name for found in fleet.detections} == {"n1"}
+    times = fleet.detection_times("n1", killed_at)
+    assert len(times) == count - 1 and times[0] > 1.0
+    assert {detection.name for detection in fleet.detections} == {"n1"}
 
 
-def test_a_one_way_cut_between_two_is_not_flapping():
+def test_no_member_gone_when_one_link_loses_one_direction():
     fleet = MembershipFleet(6, 4)
     fleet.cut = {("n0", "n1")}
     fleet.run(120)
     assert fleet.detections == []
 
 
-def test_one_that_stood_still_accuses_nobody():
+def test_resumed_member_detects_no_other_as_gone():
     fleet = MembershipFleet(6, 5)
     fleet.run(20)
     fleet.nodes["n0"].frozen = True
     fleet.run(30)
-    assert {found.name for found in fleet.detections} == {"n0"}
+    assert {detection.name for detection in fleet.detections} == {"n0"}
     fleet.detections.clear()
     fleet.nodes["n0"].frozen = False
     fleet.run(30)
@@ -42,12 +42,12 @@
     assert all("n0" in node.members.present() for node in fleet.nodes.values() if node.name != "n0")
 
 
-def test_two_halves_find_each_other_again():
+def test_members_present_again_after_partition_heals():
     fleet = MembershipFleet(8, 6)
-    one, other = fleet.names[:4], fleet.names[4:]
-    fleet.cut = {(a, b) for a in fleet.names for b in fleet.names if (a in one) != (b in one)}
+    half, other_half = fleet.names[:4], fleet.names[4:]
+    fleet.cut = {(a, b) for a in fleet.names for b in fleet.names if (a in half) != (b in half)}
     fleet.run(60)
-    assert all(set(fleet.nodes[n].members.present()) == set(other) - {n} for n in other)
+    assert all(set(fleet.nodes[n].members.present()) == set(other_half) - {n} for n in other_half)
     fleet.cut = set()
     fleet.run(60)
     assert all(len(node.members.present()) == 7 for node in fleet.nodes.values())
@@ -68,23 +68,23 @@
 
 
 @pytest.mark.parametrize(
-    "incarnation, refutations, state, then",
+    "incarnation, refutations, state, expected",
     [
         (7, 0, SUSPECT, SUSPECT),
-        (6, 9, GONE, ALIVE),  # an update of another incarnation counts for nothing
+        (6, 9, GONE, ALIVE),  # an update about another incarnation is ignored
         (7, 0, ALIVE, ALIVE),
         (7, 0, GONE, GONE),
     ],
 )
-def test_updates_of_an_earlier_incarnation_never_count(incarnation, refutations, state, then):
+def test_update_about_other_incarnation_ignored(incarnation, refutations, state, expected):
     members = Members(Host(), "n0", 1, ["n0", "n1", "n2"], PERIOD, Lcg(1), 0)
     members.on_incarnation(0, "n1", 7)
     update = MemberUpdate("n1", incarnation, refutations, state)
     members.on_ping(1, "n2", Ping(1, "n0", [update]))
-    assert members.members["n1"].state == then
+    assert members.members["n1"].state == expected
 
 
-def test_a_suspect_refutes_again_whoever_has_not_heard_of_it():
+def test_refutation_sent_again_to_member_that_repeats_suspicion():
     host = Host()
     members = Members(host, "n0", 1, ["n0", "n1", "n2"], PERIOD, Lcg(1), 0)
     for _ in range(40):
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""Limits that nodes share: the sum never over its bound, and used where the traffic is."""
+"""Tests of fleet-wide rate limits: the sum of all rates never exceeds the limit, and follows the traffic."""
 
 import pytest
 from hypothesis import given, settings
@@ -21,48 +21,54 @@
     call_timeout=30_000,
     grant_duration=8_000,
 )
-LONG = SHORT._replace(grant_duration=30_000)  # longer than a lease: a leader's grants outlive it
+# Longer than a lease, so that grants outlive the leader that made them.
+LONG = SHORT._replace(grant_duration=30_000)
 LIMIT = Limit("acme", 200.0, 20.0)
 
 
-def fleet(seed=1, count=9, bounds=SHORT, limit=LIMIT, make=LimitedReplicas, **more):
-    made = make(count, 5, seed, bounds, limit, **more)
-    made.run(6 * bounds.lease)
-    return made
+def make_fleet(seed=1, count=9, bounds=SHORT, limit=LIMIT, make=LimitedReplicas, **more):
+    fleet = make(count, 5, seed, bounds, limit, **more)
+    fleet.run(6 * bounds.lease)
+    return fleet
 
 
-def moving(made, steps=12, faults=0):
-    """Traffic that moves from node to node; with faults by chance between."""
-    injector = FaultInjector(made, 0)
+def moving_traffic(fleet, steps=12, faults=0):
+    """Moves the traffic between nodes at random, with random faults.
+
+    Raises Broken if more requests were admitted in a window than the limit allows.
+    """
+    injector = FaultInjector(fleet, 0)
     kinds = "kill", "freeze", "freeze", "split", "one way", "slow"
     for _ in range(steps):
-        hot = made.chance.sample(made.names, made.chance.randint(1, 3))
-        made.loads = {name: 300.0 if name in hot else 5.0 for name in made.names}
-        if made.chance.random() < faults:
-            name = made.leader() if made.chance.random() < 0.5 else ""
-            lasts = int(made.chance.choice((0.3, 1.0, 3.0)) * made.bounds.lease)
-            injector.inject(made.chance.choice(kinds), name or made.chance.choice(made.names), lasts, (2, 30))
-        made.run(made.at + int(made.chance.uniform(0.5, 2.0) * made.bounds.lease))
-    for window, most, allowed in made.windows():
+        hot = fleet.chance.sample(fleet.names, fleet.chance.randint(1, 3))
+        fleet.loads = {name: 300.0 if name in hot else 5.0 for name in fleet.names}
+        if fleet.chance.random() < faults:
+            name = fleet.leader() if fleet.chance.random() < 0.5 else ""
+            lasts = int(fleet.chance.choice((0.3, 1.0, 3.0)) * fleet.bounds.lease)
+            injector.inject(
+                fleet.chance.choice(kinds), name or fleet.chance.choice(fleet.names), lasts, (2, 30)
+            )
+        fleet.run(fleet.at + int(fleet.chance.uniform(0.5, 2.0) * fleet.bounds.lease))
+    for window, most, allowed in fleet.windows():
         if most > allowed:
-            raise Broken(f"{most} in {window} s, {allowed:.1f} allowed")
+            raise Broken(f"{most} requests admitted in {window} s, at most {allowed:.1f} allowed")
 
 
 @pytest.mark.parametrize("first", range(0, 12, 3))
-def test_the_sum_is_never_over_its_bound(first):
+def test_admitted_requests_within_limit_under_faults(first):
     for seed in range(first, first + 3):
-        moving(fleet(seed), faults=0.7)
+        moving_traffic(make_fleet(seed), faults=0.7)
 
 
 @settings(max_examples=10, deadline=None, derandomize=True, database=None)
 @given(st.integers(100, 1 << 30), st.integers(3, 9), st.floats(1.0, 500.0), st.floats(0.0, 50.0))
-def test_the_sum_is_never_over_its_bound_whatever_the_limit(seed, count, rate, burst):
-    made = LimitedReplicas(count, 3, seed, SHORT, Limit("acme", rate, burst))
-    moving(made, 8, 0.7)
+def test_admitted_requests_within_any_limit_under_faults(seed, count, rate, burst):
+    fleet = LimitedReplicas(count, 3, seed, SHORT, Limit("acme", rate, burst))
+    moving_traffic(fleet, 8, 0.7)
 
 
-class Regrants(QuotaLeaseGranter):
-    """Counts on what it granted last, not on what may still be used."""
+class CountsOnlyLastGrant(QuotaLeaseGranter):
+    """A leader that counts only the last grant of a node, not earlier ones that may still be used."""
 
     def outstanding_rate(self, now, number, node):
         super().outstanding_rate(now, number, node)
@@ -70,23 +76,23 @@
         return outstanding[-1].rate if outstanding else 0.0
 
 
-class Hurried(QuotaLeaseGranter):
-    """Does not wait for what the leader before it may have granted."""
+class IgnoresEarlierGrants(QuotaLeaseGranter):
+    """A new leader that does not wait for the end of grants by an earlier leader."""
 
     def __init__(self, limits, nodes, bounds, now):
         super().__init__(limits, nodes, bounds, now)
         self.silent_until = now
 
 
-class FromReceipt(QuotaLeaseHolder):
-    """A grant lasts from when it comes, so also longer each time that it comes again."""
+class GrantFromReceipt(QuotaLeaseHolder):
+    """Counts a grant's duration from when it was received, so that a repeated grant lasts longer."""
 
     def on_grants(self, now, grants, replied_at):
         super().on_grants(now, grants, now)
 
 
-class Reopened(QuotaLeaseHolder):
-    """Takes grants from before it gave everything back."""
+class AcceptsReturnedGrants(QuotaLeaseHolder):
+    """Accepts grants that answer a reply from before the node returned its grants."""
 
     def open(self, now):
         self.closed = False
@@ -97,158 +103,158 @@
         return self.grant_duration
 
 
-def given_back(made):
-    """Nodes stand by for a moment, again and again, while messages are slow."""
-    made.delay = (2, made.bounds.grant_duration // 3)
+def grants_returned(fleet):
+    """Nodes repeatedly stand by for a moment, on slow links."""
+    fleet.delay = (2, fleet.bounds.grant_duration // 3)
     for number in range(40):
-        hot, other = made.chance.sample(made.names, 2)
-        made.loads = {hot: 400.0, other: 400.0}
-        made.run(made.at + 2 * made.bounds.heartbeat_interval)
-        node = made.replica_nodes[hot]
+        hot, other = fleet.chance.sample(fleet.names, 2)
+        fleet.loads = {hot: 400.0, other: 400.0}
+        fleet.run(fleet.at + 2 * fleet.bounds.heartbeat_interval)
+        node = fleet.replica_nodes[hot]
         node.holder.close(node.now())
-        made.run(made.at + made.bounds.heartbeat_interval * (1 + number % 4))
+        fleet.run(fleet.at + fleet.bounds.heartbeat_interval * (1 + number % 4))
         node.holder.open(node.now())
-        made.run(made.at + 2 * made.bounds.heartbeat_interval)
+        fleet.run(fleet.at + 2 * fleet.bounds.heartbeat_interval)
 
 
-def random_faults(made):
-    moving(made, 20, 0.7)
+def random_faults(fleet):
+    moving_traffic(fleet, 20, 0.7)
 
 
-def leaders_frozen(made):
-    made.delay = (2, 600)
+def leaders_suspended(fleet):
+    fleet.delay = (2, 600)
     for number in range(8):
-        made.loads = {made.names[number % 9]: 400.0, made.names[(number + 4) % 9]: 400.0 * (number % 2)}
-        made.run(made.at + 3 * made.bounds.heartbeat_interval)
-        leading = made.leader() or "n0"
-        made.freeze(leading)
-        made.run(made.at + 3 * made.bounds.lease)
-        made.loads = {made.names[(number + 2) % 9]: 400.0}
-        made.wake(leading)
-        made.run(made.at + made.bounds.lease)
-
-
-def hot_ones_cut_off(made):
-    """One after the other: whoever has most is cut off, and its traffic goes elsewhere."""
-    for name in made.names:
-        made.loads = {name: 400.0}
-        made.run(made.at + 3 * made.bounds.grant_duration)
-        if made.leader() in ("", name):
+        fleet.loads = {fleet.names[number % 9]: 400.0, fleet.names[(number + 4) % 9]: 400.0 * (number % 2)}
+        fleet.run(fleet.at + 3 * fleet.bounds.heartbeat_interval)
+        leader_name = fleet.leader() or "n0"
+        fleet.freeze(leader_name)
+        fleet.run(fleet.at + 3 * fleet.bounds.lease)
+        fleet.loads = {fleet.names[(number + 2) % 9]: 400.0}
+        fleet.wake(leader_name)
+        fleet.run(fleet.at + fleet.bounds.lease)
+
+
+def busiest_nodes_isolated(fleet):
+    """Isolates one node after the other while it has the largest grant, and moves its traffic."""
+    for name in fleet.names:
+        fleet.loads = {name: 400.0}
+        fleet.run(fleet.at + 3 * fleet.bounds.grant_duration)
+        if fleet.leader() in ("", name):
             continue
-        made.split([name], [other for other in made.names if other != name])
-        made.loads = {made.leader(): 400.0}
-        made.run(made.at + 2 * made.bounds.grant_duration)
-        made.heal()
-        made.run(made.at + 2 * made.bounds.lease)
-
-
-def late_messages(made):
-    """Messages take up to half as long as a grant lasts."""
-    made.delay = (2, made.bounds.grant_duration // 2)
-    hot_ones_cut_off(made)
-
-
-PLAYS = [given_back, leaders_frozen, hot_ones_cut_off, late_messages]
-BUILDS = [
-    (Regrants, random_faults),
-    (Hurried, leaders_frozen),
-    (FromReceipt, late_messages),
-    (NoDrift, hot_ones_cut_off),
-    (Reopened, given_back),
+        fleet.split([name], [other for other in fleet.names if other != name])
+        fleet.loads = {fleet.leader(): 400.0}
+        fleet.run(fleet.at + 2 * fleet.bounds.grant_duration)
+        fleet.heal()
+        fleet.run(fleet.at + 2 * fleet.bounds.lease)
+
+
+def slow_links(fleet):
+    """Isolates nodes on links with a delay of up to half a grant's duration."""
+    fleet.delay = (2, fleet.bounds.grant_duration // 2)
+    busiest_nodes_isolated(fleet)
+
+
+SCENARIOS = [grants_returned, leaders_suspended, busiest_nodes_isolated, slow_links]
+VARIANTS = [
+    (CountsOnlyLastGrant, random_faults),
+    (IgnoresEarlierGrants, leaders_suspended),
+    (GrantFromReceipt, slow_links),
+    (NoDrift, busiest_nodes_isolated),
+    (AcceptsReturnedGrants, grants_returned),
 ]
 
 
-@pytest.mark.parametrize("play", PLAYS, ids=lambda one: one.__name__)
-def test_plays(play):
+@pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda value: value.__name__)
+def test_limit_kept_in_scenario(scenario):
     for seed in range(4):
-        play(fleet(seed, bounds=(SHORT, LONG)[seed % 2]))
+        scenario(make_fleet(seed, bounds=(SHORT, LONG)[seed % 2]))
 
 
-@pytest.mark.parametrize("broken, play", BUILDS, ids=lambda one: one.__name__)
-def test_broken_builds_are_caught(broken, play, monkeypatch):
-    bounds = broken(*SHORT) if issubclass(broken, Bounds) else SHORT
-    bounds = LONG if broken is Hurried else broken(*LONG) if broken is NoDrift else bounds
-    if issubclass(broken, QuotaLeaseGranter):
-        monkeypatch.setattr(leader, "QuotaLeaseGranter", broken)
-    holder = broken if issubclass(broken, QuotaLeaseHolder) else QuotaLeaseHolder
+@pytest.mark.parametrize("variant, scenario", VARIANTS, ids=lambda value: value.__name__)
+def test_faulty_variant_detected(variant, scenario, monkeypatch):
+    bounds = variant(*SHORT) if issubclass(variant, Bounds) else SHORT
+    bounds = LONG if variant is IgnoresEarlierGrants else variant(*LONG) if variant is NoDrift else bounds
+    if issubclass(variant, QuotaLeaseGranter):
+        monkeypatch.setattr(leader, "QuotaLeaseGranter", variant)
+    holder = variant if issubclass(variant, QuotaLeaseHolder) else QuotaLeaseHolder
     make = type("Broken", (LimitedReplicas,), {"make_holder": holder})
     for seed in range(20):
         try:
-            play(fleet(seed, bounds=bounds, make=make))
+            scenario(make_fleet(seed, bounds=bounds, make=make))
         except Broken:
             return
-    pytest.fail("not caught")
+    pytest.fail("no check failed for the faulty variant")
 
 
 @pytest.mark.parametrize("hot", [["n0"], ["n3", "n8"], [f"n{i}" for i in range(9)]])
-def test_nearly_all_of_it_is_used_within_two_seconds_of_a_shift(hot):
-    made = fleet(bounds=SHORT._replace(drift=0.01), limit=LIMIT._replace(burst=90.0))
-    made.loads = {"n5": 400.0}
-    made.run(made.at + 50_000)
-    made.loads = {name: 400.0 / len(hot) for name in hot}
-    made.run(made.at + 20_000)
-    since = made.at
-    made.run(made.at + 50_000)
-    assert made.admitted_rate(since, made.at) >= 0.95 * LIMIT.rate
-    assert made.highest_rate <= LIMIT.rate + 0.01
-
-
-def test_the_side_with_the_leader_gets_the_other_sides_share():
-    made = fleet(3)
-    made.loads = dict.fromkeys(made.names, 60.0)
-    made.run(made.at + 50_000)
-    leading = made.leader()
-    away = [name for name in made.names if name != leading][-4:]  # with one voter at the most
-    made.split(away, [name for name in made.names if name not in away])
-    made.run(made.at + 3 * SHORT.lease)
-    before = dict(made.admitted_by)
-    made.run(made.at + 50_000)
-    near = sum(made.admitted_by[n] - before[n] for n in made.names if n not in away) / 5
-    far = sum(made.admitted_by[n] - before[n] for n in away) / 5
+def test_limit_used_within_two_seconds_of_traffic_shift(hot):
+    fleet = make_fleet(bounds=SHORT._replace(drift=0.01), limit=LIMIT._replace(burst=90.0))
+    fleet.loads = {"n5": 400.0}
+    fleet.run(fleet.at + 50_000)
+    fleet.loads = {name: 400.0 / len(hot) for name in hot}
+    fleet.run(fleet.at + 20_000)
+    since = fleet.at
+    fleet.run(fleet.at + 50_000)
+    assert fleet.admitted_rate(since, fleet.at) >= 0.95 * LIMIT.rate
+    assert fleet.highest_rate <= LIMIT.rate + 0.01
+
+
+def test_partition_with_leader_gets_rate_beyond_other_sides_guarantee():
+    fleet = make_fleet(3)
+    fleet.loads = dict.fromkeys(fleet.names, 60.0)
+    fleet.run(fleet.at + 50_000)
+    leader_name = fleet.leader()
+    isolated = [name for name in fleet.names if name != leader_name][-4:]  # at most one of them is a voter
+    fleet.split(isolated, [name for name in fleet.names if name not in isolated])
+    fleet.run(fleet.at + 3 * SHORT.lease)
+    before = dict(fleet.admitted_by)
+    fleet.run(fleet.at + 50_000)
+    leader_side = sum(fleet.admitted_by[n] - before[n] for n in fleet.names if n not in isolated) / 5
+    other_side = sum(fleet.admitted_by[n] - before[n] for n in isolated) / 5
     guaranteed = SHORT.guaranteed_fraction * LIMIT.rate * 4 / 9
-    assert far == pytest.approx(guaranteed, rel=0.15)
-    assert near + guaranteed >= 0.95 * LIMIT.rate
+    assert other_side == pytest.approx(guaranteed, rel=0.15)
+    assert leader_side + guaranteed >= 0.95 * LIMIT.rate
 
 
-def test_what_is_measured_of_larger_fleets():
+def test_measured_fairness_shift_time_and_traffic():
     found = measured(9)
     assert found["worst"] <= 1.0 + 1e-6 and found["shift_s"] <= 2.0
     assert found["jain"] > 0.98 and found["other_bytes_s"] < found["author_bytes_s"] < 20_000
 
 
-def test_what_resting_nodes_do_not_use_others_can():
-    made = fleet(4, limit=LIMIT._replace(burst=90.0), bounds=SHORT._replace(drift=0.01))
-    made.loads = {"n1": 400.0}
-    for name in made.names[3:]:
-        made.replica_nodes[name].holder.close(made.replica_nodes[name].now())
-    made.run(made.at + 20_000)
-    since = made.at
-    made.run(made.at + 50_000)
-    assert made.admitted_rate(since, made.at) >= 0.95 * LIMIT.rate
+def test_rate_of_closed_nodes_used_by_others():
+    fleet = make_fleet(4, limit=LIMIT._replace(burst=90.0), bounds=SHORT._replace(drift=0.01))
+    fleet.loads = {"n1": 400.0}
+    for name in fleet.names[3:]:
+        fleet.replica_nodes[name].holder.close(fleet.replica_nodes[name].now())
+    fleet.run(fleet.at + 20_000)
+    since = fleet.at
+    fleet.run(fleet.at + 50_000)
+    assert fleet.admitted_rate(since, fleet.at) >= 0.95 * LIMIT.rate
 
 
-def test_all_nodes_get_as_much_where_all_want_more():
-    made = fleet(2)
-    made.loads = dict.fromkeys(made.names, 100.0)
-    made.run(made.at + 100_000)
-    assert fairness(list(made.admitted_by.values())) > 0.98
+def test_equal_rates_when_all_demands_exceed_limit():
+    fleet = make_fleet(2)
+    fleet.loads = dict.fromkeys(fleet.names, 100.0)
+    fleet.run(fleet.at + 100_000)
+    assert fairness(list(fleet.admitted_by.values())) > 0.98
 
 
-def test_a_limit_changed_in_service_up_and_down_by_ten():
-    made = fleet(2, limit=LIMIT._replace(burst=200.0))
-    made.loads = dict.fromkeys(made.names, 300.0)
+def test_changed_quota_in_force_within_three_leases():
+    fleet = make_fleet(2, limit=LIMIT._replace(burst=200.0))
+    fleet.loads = dict.fromkeys(fleet.names, 300.0)
     for number, rate in enumerate((2000.0, 20.0, 0.0, 200.0)):
-        made.limit = made.limit._replace(rate=max(rate, made.limit.rate))
-        made.call(made.leader(), number, [Verdict("quota", "acme", figure=rate)])
-        made.run(made.at + 3 * SHORT.lease)
-        made.limit = made.limit._replace(rate=rate)
-        since = made.at
-        made.run(made.at + 50_000)
-        assert 0.94 * rate <= made.admitted_rate(since, made.at) <= 1.12 * rate
+        fleet.limit = fleet.limit._replace(rate=max(rate, fleet.limit.rate))
+        fleet.call(fleet.leader(), number, [Verdict("quota", "acme", figure=rate)])
+        fleet.run(fleet.at + 3 * SHORT.lease)
+        fleet.limit = fleet.limit._replace(rate=rate)
+        since = fleet.at
+        fleet.run(fleet.at + 50_000)
+        assert 0.94 * rate <= fleet.admitted_rate(since, fleet.at) <= 1.12 * rate
 
 
 @pytest.mark.parametrize(
-    "pool, wants, parts",
+    "pool, demand, expected",
     [
         (90, {"a": 10, "b": 50, "c": 50}, {"a": 10, "b": 40, "c": 40}),
         (90, {"a": 0, "b": 0, "c": 0}, {"a": 30, "b": 30, "c": 30}),
@@ -257,14 +263,14 @@
         (9, {"a": float("inf"), "b": 1}, {"a": 8, "b": 1}),
     ],
 )
-def test_max_min(pool, wants, parts):
-    assert max_min(pool, wants) == pytest.approx(parts)
+def test_max_min_fair_allocation(pool, demand, expected):
+    assert max_min(pool, demand) == pytest.approx(expected)
 
 
-def test_a_bucket_fills_by_what_is_granted_until_that_ends():
+def test_bucket_filled_at_granted_rate_until_grant_expires():
     bucket = Bucket(50.0, 0)
     bucket.guaranteed_rate, bucket.guaranteed_from = 1.0, 10_000
     bucket.granted_rate, bucket.granted_until = 10.0, 20_000
-    assert sum(bucket.take(40_000) for _ in range(100)) == 23  # 3 s at 1, 2 s at 10
+    assert sum(bucket.take(40_000) for _ in range(100)) == 23  # 3 s at 1 per second, 2 s at 10 per second
     assert sum(bucket.take(50_000) for _ in range(100)) == 1
-    assert Bucket(1.0, 0).take(0) is False, "a new incarnation has nothing left of the one before"
+    assert Bucket(1.0, 0).take(0) is False, "a new incarnation must start with an empty bucket"
