--- a/basalthoist/fleet/operator_calls.py
+++ b/basalthoist/fleet/operator_calls.py
@@ -40,7 +40,7 @@
     """An operator's call that was made at this node."""
 
     changes: list[Verdict]
-    until: int
+    deadline: int
     forwarded_at: int  # when this node last sent the call to a leader
     was_forwarded: bool
 
@@ -59,7 +59,7 @@
 
     def is_overdue(self, now: int, call_id: int) -> bool:
         """Returns whether the wait for an answer is over."""
-        return now > self.calls[call_id].until + 4 * self.bounds.heartbeat_interval
+        return now > self.calls[call_id].deadline + 4 * self.bounds.heartbeat_interval
 
     def is_due(self, now: int, call_id: int) -> bool:
         """Returns whether it is time to send the call to the leader, for the first time or again."""
@@ -69,7 +69,7 @@
         """Returns the message to the leader and records that the call is sent now."""
         call = self.calls[call_id]
         self.calls[call_id] = call._replace(forwarded_at=now, was_forwarded=True)
-        return OperatorCall(call_id, call.changes, max(call.until - now, 0))
+        return OperatorCall(call_id, call.changes, max(call.deadline - now, 0))
 
     def complete(self, call_id: int, text: str) -> None:
         """Answers the operator. A second answer to the same call is dropped."""
@@ -83,7 +83,7 @@
     name: str  # of the node at which the call was made
     call_id: int
     version: int  # the first version that contains the call's changes
-    until: int
+    deadline: int
 
 
 class CallsInProgress:
@@ -102,7 +102,7 @@
         """Drops all calls of an earlier term."""
         self.waiting, self.versions = [], {}
 
-    def take(self, now: int, name: str, call: OperatorCall, leader: CommitState) -> bool:
+    def accept(self, now: int, name: str, call: OperatorCall, leader: CommitState) -> bool:
         """Queues a call's changes, unless the call is refused, in progress, or only its answer was lost.
 
         Nodes send a call repeatedly, also one that an earlier leader has accepted. Returns whether the call
@@ -116,7 +116,7 @@
             return False
         version = self.versions.get((name, call.call_id))
         if version is None:  # Otherwise the answer was lost, and the changes must not be queued again.
-            version = self.queue(name, call, leader)
+            version = self.queue_changes(name, call, leader)
         self.waiting.append(WaitingCall(name, call.call_id, version, now + call.remaining))
         return True
 
@@ -128,7 +128,7 @@
             return f"FAILURE {self.max_verdicts} verdicts at most"
         return ""
 
-    def queue(self, name: str, call: OperatorCall, leader: CommitState) -> int:
+    def queue_changes(self, name: str, call: OperatorCall, leader: CommitState) -> int:
         """Queues a call's changes and returns the first version that will contain them."""
         stored = leader.sets.stored
         leader.queue += call.changes
@@ -160,13 +160,13 @@
 def outcome(now: int, call: WaitingCall, leader: CommitState) -> str:
     """Returns the answer to the call, or an empty text while the outcome is open."""
     if leader.committed < call.version:
-        if now < call.until:
+        if now < call.deadline:
             return ""
         return f"FAILURE version {call.version} proposed, not known whether it is kept"
     late = leader.may_apply_older(now, call.version)
     if not late:
         return success_text(call.version, leader)
-    return late_text(call.version, late) if now >= call.until else ""
+    return late_text(call.version, late) if now >= call.deadline else ""
 
 
 def success_text(version: int, leader: CommitState) -> str:
--- a/basalthoist/fleet/quota_leases.py
+++ b/basalthoist/fleet/quota_leases.py
@@ -65,7 +65,7 @@
         self.guaranteed_from: int = 0  # the guaranteed rate is lent until then
         self.granted_rate: float = 0.0
         self.granted_until: int = now
-        self.requests: int = 0  # number since `averaged_at`
+        self.requests: int = 0  # requests received since `averaged_at`
         self.average_rate: float = 0.0
         self.averaged_at: int = now
 
@@ -139,8 +139,8 @@
 
     def demand(self, now: int) -> Rates:
         """Returns the rates to request."""
-        rates = [(number, bucket.demand(now)) for number, bucket in enumerate(self.buckets)]
-        return [] if self.closed else [(number, round(rate, 3)) for number, rate in rates if rate > 0.0]
+        rates = [(index, bucket.demand(now)) for index, bucket in enumerate(self.buckets)]
+        return [] if self.closed else [(index, round(rate, 3)) for index, rate in rates if rate > 0.0]
 
     def on_grants(self, now: int, grants: Rates | None, replied_at: int) -> None:
         """Applies the grants that answer the reply which this incarnation sent at `replied_at`.
@@ -152,11 +152,11 @@
         if grants is None or self.closed or replied_at < self.open_from or until <= now:
             return
         rates = dict(grants)
-        for number, bucket in enumerate(self.buckets):
+        for limit_index, bucket in enumerate(self.buckets):
             # Guards against older grants that arrive after newer ones.
             if until >= bucket.granted_until or now >= bucket.granted_until:
                 bucket.fill(now)
-                bucket.granted_rate, bucket.granted_until = rates.get(number, 0.0), until
+                bucket.granted_rate, bucket.granted_until = rates.get(limit_index, 0.0), until
 
     def close(self, now: int) -> None:
         """Returns all grants at once and reports so in replies. Called when the node stands by or drains."""
@@ -216,15 +216,17 @@
         if demand.lends:
             until = heartbeat_sent_at + self.bounds.min_remote_loan_duration()
             self.lent_until[node] = max(self.lent_until.get(node, 0), until)
-        self.demand[node] = NodeDemand(now, {number: rate for number, rate in demand.rates if rate >= 0.0})
+        self.demand[node] = NodeDemand(
+            now, {limit_index: rate for limit_index, rate in demand.rates if rate >= 0.0}
+        )
         if demand.returns_grants:
             for outstanding in self.outstanding:
                 outstanding.pop(node, None)
 
-    def outstanding_rate(self, now: int, number: int, node: str) -> float:
+    def outstanding_rate(self, now: int, limit_index: int, node: str) -> float:
         """Returns the highest rate that the node's grants still allow, and drops expired grants."""
-        live = [grant for grant in self.outstanding[number].get(node, ()) if grant.end > now]
-        self.outstanding[number][node] = live
+        live = [grant for grant in self.outstanding[limit_index].get(node, ()) if grant.end > now]
+        self.outstanding[limit_index][node] = live
         return max((grant.rate for grant in live), default=0.0)
 
     def plan(self, now: int, rates: list[float]) -> None:
@@ -238,15 +240,15 @@
             for name, demand in self.demand.items()
             if now - demand.received_at <= self.bounds.fresh
         }
-        for number, rate in enumerate(rates):
+        for limit_index, rate in enumerate(rates):
             pool = grantable * rate
-            demand = {name: demanded.get(number, 0.0) for name, demanded in recent.items()}
-            self.targets[number] = max_min(pool, demand) if demand else {}
-            nodes = list(self.outstanding[number])
-            self.outstanding_rates[number] = {
-                name: self.outstanding_rate(now, number, name) for name in nodes
+            demand = {name: demanded.get(limit_index, 0.0) for name, demanded in recent.items()}
+            self.targets[limit_index] = max_min(pool, demand) if demand else {}
+            nodes = list(self.outstanding[limit_index])
+            self.outstanding_rates[limit_index] = {
+                name: self.outstanding_rate(now, limit_index, name) for name in nodes
             }
-            self.free[number] = pool - sum(self.outstanding_rates[number].values())
+            self.free[limit_index] = pool - sum(self.outstanding_rates[limit_index].values())
 
     def grants(self, now: int, node: str) -> Rates | None:
         """Returns the grants for a node in a heartbeat sent now.
@@ -257,20 +259,20 @@
             return None
         found: Rates = []
         end = now + self.bounds.max_remote_grant_duration()
-        for number in range(len(self.targets)):
-            rate = self.grant(number, node, end)
+        for limit_index in range(len(self.targets)):
+            rate = self.grant(limit_index, node, end)
             if rate > 0.0:
-                found.append((number, rate))
+                found.append((limit_index, rate))
         return found
 
-    def grant(self, number: int, node: str, end: int) -> float:
+    def grant(self, limit_index: int, node: str, end: int) -> float:
         """Grants and records the node's target rate of one limit, as far as there is a free rate."""
-        already_granted = self.outstanding_rates[number].get(node, 0.0)
-        outstanding = self.outstanding[number]
-        target = self.targets[number].get(node, 0.0)
-        rate = max(min(target, already_granted + max(self.free[number], 0.0)), 0.0)
+        already_granted = self.outstanding_rates[limit_index].get(node, 0.0)
+        outstanding = self.outstanding[limit_index]
+        target = self.targets[limit_index].get(node, 0.0)
+        rate = max(min(target, already_granted + max(self.free[limit_index], 0.0)), 0.0)
         rate = int(rate * GRANT_STEPS_PER_UNIT) / GRANT_STEPS_PER_UNIT
-        self.free[number] -= max(rate - already_granted, 0.0)
+        self.free[limit_index] -= max(rate - already_granted, 0.0)
         # Earlier grants of the same or a lower rate need no record: this grant ends later.
         larger = [grant for grant in outstanding.get(node, ()) if grant.rate > rate]
         outstanding[node] = [*larger, OutstandingGrant(rate, end)]
--- a/basalthoist/fleet/replica.py
+++ b/basalthoist/fleet/replica.py
@@ -271,7 +271,7 @@
             return in_progress.answer(name, call.call_id, f"SUCCESS {self.status(now)}")
         # An open proposal may be lost with this leader, so the answer also waits for its commit.
         is_proposing = self.leader.committed != self.sets.stored.version
-        if in_progress.take(now, name, call, self.leader):
+        if in_progress.accept(now, name, call, self.leader):
             if not is_proposing:
                 self.leader.commit(now)
             self.answer_calls(now)
--- a/basalthoist/net/runtime/descriptors.py
+++ b/basalthoist/net/runtime/descriptors.py
@@ -52,14 +52,14 @@
 class DescriptorBudget:
     """Limits the descriptors of connections to `limit`, and allows some of `reserve` more for rejections.
 
-    Of the reserve each process needs `own` descriptors itself, for event loop, listeners, log and discovery.
-    Half of the rest is for connections of clients that only receive a rejection.
+    Of the reserve, each process needs `own_per_process` descriptors itself, for event loop, listeners, log and
+    discovery. Half of the rest is for connections of clients that only receive a rejection.
     """
 
-    def __init__(self, limit: int, reserve: int = 0, own: int = 0) -> None:
+    def __init__(self, limit: int, reserve: int = 0, own_per_process: int = 0) -> None:
         self.total: int = limit  # for all processes of the node together
         self.reserve: int = reserve
-        self.own: int = own
+        self.own_per_process: int = own_per_process
         self.used: int = 0
         self.reclaimers: list[Reclaimer] = []
         self.set_process_count(1)
@@ -67,7 +67,7 @@
     def set_process_count(self, processes: int) -> None:
         """Divides the budget by the number of processes, and closes idle connections above the new limit."""
         # Guards against a small budget: the processes themselves may need more than the reserve.
-        spare = self.reserve - self.own * processes
+        spare = self.reserve - self.own_per_process * processes
         self.limit: int = max(self.total + min(spare, 0), processes) // processes
         # Beyond the limit each process has some descriptors for rejections.
         self.hard_limit: int = self.limit + max(spare // 2 // processes**2, 0)
@@ -79,20 +79,20 @@
         while is_divided and self.used > self.limit and self.reclaim(lambda: False):
             pass
 
-    def acquire(self, own: Reclaimer, keep_free: int = 0) -> bool:
-        """Takes a descriptor; at the limit, only by closing an idle connection, with `own` first.
+    def acquire(self, preferred: Reclaimer, keep_free: int = 0) -> bool:
+        """Takes a descriptor; at the limit, only by closing an idle connection, with `preferred` first.
 
         Leaves `keep_free` descriptors below the limit for other purposes. Returns False if none is available.
         """
         # Guards against EMFILE, at which an accepted connection and its requests would be dropped.
-        if self.used >= self.limit - keep_free and not self.reclaim(own):
+        if self.used >= self.limit - keep_free and not self.reclaim(preferred):
             return False
         self.used += 1
         return True
 
-    def reclaim(self, own: Reclaimer) -> bool:
-        """Closes one idle connection, by `own` before the others. Returns False if there is none."""
-        reclaimers = sorted(self.reclaimers, key=lambda reclaimer: reclaimer != own)
+    def reclaim(self, preferred: Reclaimer) -> bool:
+        """Closes one idle connection, by `preferred` before the others. Returns False if there is none."""
+        reclaimers = sorted(self.reclaimers, key=lambda reclaimer: reclaimer != preferred)
         return any(reclaimer() for reclaimer in reclaimers)
 
     def acquire_over_limit(self) -> None:
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -70,9 +70,9 @@
 class CountsOnlyLastGrant(QuotaLeaseGranter):
     """A leader that counts only the last grant of a node, not earlier ones that may still be used."""
 
-    def outstanding_rate(self, now, number, node):
-        super().outstanding_rate(now, number, node)
-        outstanding = self.outstanding[number][node]
+    def outstanding_rate(self, now, limit_index, node):
+        super().outstanding_rate(now, limit_index, node)
+        outstanding = self.outstanding[limit_index][node]
         return outstanding[-1].rate if outstanding else 0.0
 
 
