--- a/basalthoist/fleet/quota_leases.py
+++ b/basalthoist/fleet/quota_leases.py
@@ -159,7 +159,7 @@
                 bucket.granted_rate, bucket.granted_until = rates.get(limit_index, 0.0), until
 
     def close(self, now: int) -> None:
-        """Returns all grants at once and reports so in replies. Called when the node stands by or drains."""
+        """Gives up all grants at once, as later replies report. Called when the node stands by or drains."""
         self.closed = True
         for bucket in self.buckets:
             bucket.fill(now)
--- a/basalthoist/fleet/replica.py
+++ b/basalthoist/fleet/replica.py
@@ -151,7 +151,7 @@
             self.withdraw(now, 0)
 
     def campaign(self, now: int) -> None:
-        """Sends vote requests if they are due, and withdraws when the candidacy has expired."""
+        """Sends vote requests if due and counts the votes, or withdraws when the candidacy has expired."""
         if self.election.expired(now):
             return self.withdraw(now, 0)
         if self.election.due(now):
--- a/basalthoist/net/runtime/descriptors.py
+++ b/basalthoist/net/runtime/descriptors.py
@@ -52,8 +52,8 @@
 class DescriptorBudget:
     """Limits the descriptors of connections to `limit`, and allows some of `reserve` more for rejections.
 
-    Of the reserve, each process needs `own_per_process` descriptors itself, for event loop, listeners, log and
-    discovery. Half of the rest is for connections of clients that only receive a rejection.
+    Of the reserve, each process needs `own_per_process` descriptors itself, for event loop, listeners, log
+    and discovery. Half of the rest is for connections of clients that only receive a rejection.
     """
 
     def __init__(self, limit: int, reserve: int = 0, own_per_process: int = 0) -> None:
