--- a/basalthoist/fleet/outlier_reports.py
+++ b/basalthoist/fleet/outlier_reports.py
@@ -35,7 +35,7 @@
     outlier: OutlierState
 
 
-def claimed_outliers(backends: Iterable[ReportedBackend], now: int) -> list[str]:
+def outliers_to_report(backends: Iterable[ReportedBackend], now: int) -> list[str]:
     """Returns the names of backends ejected here for own failed attempts and not trusted since.
 
     `now` is in tenths of a millisecond, on the clock of the outlier detection. Of more than MAX_REPORTED
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -15,7 +15,7 @@
 from basalthoist.fleet import lease, replica
 from basalthoist.fleet.bounds import DISTANT_PAST, Bounds
 from basalthoist.fleet.leader import Leader
-from basalthoist.fleet.outlier_reports import claimed_outliers
+from basalthoist.fleet.outlier_reports import outliers_to_report
 from basalthoist.fleet.replica import Replica, Role
 from basalthoist.fleet.verdicts import SnapshotFetch, Verdict, VerdictSet
 from basalthoist.fleet.wire import (
@@ -453,12 +453,12 @@
     ],
 )
 def test_only_outliers_of_own_attempts_reported(backend, is_reported):
-    assert claimed_outliers([backend], 100_000) == (["a"] if is_reported else [])
+    assert outliers_to_report([backend], 100_000) == (["a"] if is_reported else [])
 
 
 def test_reported_outliers_fit_in_one_datagram():
     many = [ReportedBackend(f"s-{i:037d}", 0.4 + i / 1000, 110_000) for i in range(100)]
-    assert len(claimed_outliers(many, 100_000)) == 16
-    outliers = claimed_outliers(many, 100_000)
+    assert len(outliers_to_report(many, 100_000)) == 16
+    outliers = outliers_to_report(many, 100_000)
     reply = HeartbeatReply(1 << 60, 1 << 60, 1 << 60, 1 << 60, 1 << 60, True, True, outliers)
     encode(b"k" * 16, Envelope("n" * 60, 1 << 62, "m" * 60, 1 << 62, reply))
