--- a/basalthoist/fleet/lease.py
+++ b/basalthoist/fleet/lease.py
@@ -21,9 +21,8 @@
         self.leader_term: int = 0  # the term of the latest elected leader that this voter knows
         self.promised_term: int = 0
         self.promised_until: int = 0
-        self.intact: bool = (
-            False  # whether everything that earlier incarnations may have acknowledged is here
-        )
+        # Whether everything that earlier incarnations of this voter may have acknowledged is stored here.
+        self.intact: bool = False
 
     def may_vote(self, now: int) -> bool:
         """Returns whether the silence after the start is over."""
--- a/basalthoist/fleet/wire.py
+++ b/basalthoist/fleet/wire.py
@@ -101,9 +101,7 @@
     stored_version: int  # -1: the node has not stored a proposal of this term
     applied_version: int
     sent_at: int  # on the replying node's clock
-    voting: (
-        bool  # whether the node is a voter after its initial silence, so that the reply renews its promise
-    )
+    voting: bool  # whether the reply renews a voter's promise: not before its silence at the start is over
     intact: bool  # whether the voter still has everything that it acknowledged
     outliers: list[str] = []  # backends that this node has ejected by its own detection
     demand: list[tuple[int, float]] = []  # requested rates by limit
