--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -139,7 +139,7 @@
 from basalthoist.experiments.cluster.faults import Faults
 from basalthoist.net.runtime.atomic_files import AppendOnlyFile, StorageError
 
-file, faults = AppendOnlyFile(sys.argv[1]), Faults.attached()
+file, faults = AppendOnlyFile(sys.argv[1]), Faults.of_this_process()
 
 def print_result(write, data):
     failure = ""
