--- a/basalthoist/net/clients/front_end.py
+++ b/basalthoist/net/clients/front_end.py
@@ -73,7 +73,7 @@
         self.listener: Listener | None = None
         # Returns whether another process may accept connections from the same listening socket.
         self.listener_shared: Callable[[], bool] = lambda: False
-        self.longest_timeout: int = int(configuration.longest_s * SECOND)  # of any route, in 0.1 ms
+        self.longest_timeout: int = int(configuration.longest_timeout_s * SECOND)  # of any route, in 0.1 ms
         self.ready: bool = False
         # While draining, idle connections are closed, and others after their response unless the next request
         # has begun to arrive.
--- a/basalthoist/net/lifecycle/reload.py
+++ b/basalthoist/net/lifecycle/reload.py
@@ -59,7 +59,7 @@
 
     def apply_changes(self, read: Configuration) -> None:
         """Applies the new configuration, and logs the changed keys that take effect only at a restart."""
-        waiting = read.waits_for_restart(self.current)
+        waiting = read.keys_needing_restart(self.current)
         self.current = read
         self.log(
             "configuration read again" + (f", at the next start: {', '.join(waiting)}" if waiting else "")
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -31,16 +31,21 @@
 from basalthoist.emulator import costs
 from basalthoist.emulator.distributed import Distributed, route, tenant
 from basalthoist.emulator.replicas import Broken
-from basalthoist.emulator.storms import REGISTER, SHORT, DistributionFaultInjector, run_random_faults
+from basalthoist.emulator.storms import (
+    REGISTER_BOUNDS,
+    SHORT_BOUNDS,
+    DistributionFaultInjector,
+    run_random_faults,
+)
 
-LEASE = REGISTER.lease
+LEASE = REGISTER_BOUNDS.lease
 
 
-def started_fleet(seed, make=None, count=12, voters=3, relays=3, regions=3, bounds=SHORT, **more):
+def started_fleet(seed, make=None, count=12, voters=3, relays=3, regions=3, bounds=SHORT_BOUNDS, **more):
     """Returns a simulated fleet with a leader and a catalogue that is in force at all nodes."""
     make = dict(make or {})
     bounds = make.pop("bounds", bounds)
-    world = Distributed(count, voters, relays, seed, bounds, REGISTER, regions, make=make, **more)
+    world = Distributed(count, voters, relays, seed, bounds, REGISTER_BOUNDS, regions, make=make, **more)
     for number, node in enumerate(world.nodes.values()):
         node.looked_up = [f"t{number % 8}", f"t{(number + 3) % 8}"]
     while not world.author():
@@ -249,7 +254,7 @@
 @settings(max_examples=8, deadline=None, derandomize=True, database=None)
 @given(st.integers(0, 1 << 30), st.lists(FAULTS, min_size=3, max_size=8))
 def test_guarantees_hold_under_generated_faults_and_calls(seed, faults):
-    world = Distributed(8, 3, 2, seed, SHORT, REGISTER)
+    world = Distributed(8, 3, 2, seed, SHORT_BOUNDS, REGISTER_BOUNDS)
     for number, node in enumerate(world.nodes.values()):
         node.looked_up = [f"t{number}"]
     faults_run = DistributionFaultInjector(world, 0)
@@ -400,7 +405,7 @@
 
 
 FAULTY_VARIANTS = [
-    ({"bounds": IgnoresDrift(*SHORT)}, nodes_cut_off, "said to be in force"),
+    ({"bounds": IgnoresDrift(*SHORT_BOUNDS)}, nodes_cut_off, "said to be in force"),
     ({"publisher": ConfirmsWithoutLease}, leader_region_cut_off, "replaced|in force"),
     ({"publisher": CommitsBeforeHead}, leader_region_cut_off, "fork|does not count|follows|replaced"),
     ({"publisher": IgnoresPreviousLeader}, leader_region_cut_off, "said to be in force"),
@@ -455,7 +460,7 @@
 
 
 def test_nodes_spread_evenly_over_relays_of_their_region():
-    world = started_fleet(4, count=60, bounds=SHORT._replace(min_sessions=5))
+    world = started_fleet(4, count=60, bounds=SHORT_BOUNDS._replace(min_sessions=5))
     world.run(world.at + 20 * LEASE)
     sessions = sessions_by_relay(world)
     assert sum(sessions.values()) == 60 and max(sessions.values()) <= 1.25 * 60 / 6 + 1
@@ -465,7 +470,10 @@
 
 def test_nodes_that_know_only_seeds_are_redirected_to_other_relays():
     world = started_fleet(
-        12, count=90, relays=6, bounds=SHORT._replace(min_sessions=10, preferred_relay_interval=10_000_000)
+        12,
+        count=90,
+        relays=6,
+        bounds=SHORT_BOUNDS._replace(min_sessions=10, preferred_relay_interval=10_000_000),
     )
     for node in world.nodes.values():
         world.kill(node.name)
@@ -496,7 +504,7 @@
 
 
 def test_snapshots_are_rate_limited_when_a_zone_restarts():
-    bounds = SHORT._replace(sessions_per_s=20, snapshot_bytes_per_s=20_000)
+    bounds = SHORT_BOUNDS._replace(sessions_per_s=20, snapshot_bytes_per_s=20_000)
     world = started_fleet(6, count=90, bounds=bounds)
     zone = [node for node in world.nodes.values() if node.region == "z1"]
     for node in zone:
@@ -543,7 +551,7 @@
 
 
 def test_non_strict_node_acts_on_stale_view_and_knows_its_age():
-    world = started_fleet(10, bounds=SHORT._replace(strict=False))
+    world = started_fleet(10, bounds=SHORT_BOUNDS._replace(strict=False))
     node = world.nodes["b1"]
     world.isolate("b1")
     make_calls(world, "r0", 10, 30, 1_000)
@@ -564,7 +572,7 @@
 
 
 def test_calls_beyond_max_calls_rejected_and_every_call_answered():
-    world = started_fleet(11, bounds=SHORT._replace(max_calls=5))
+    world = started_fleet(11, bounds=SHORT_BOUNDS._replace(max_calls=5))
     for voter in world.voters:
         if voter != world.author():
             world.isolate(voter)  # without a majority nothing is committed
@@ -637,7 +645,9 @@
     store, copies = store_after(steps, history_bytes)
     version = min(start, store.version)
     before = Catalogue(version, [e for e in copies[version] if e.kind != "tenant" and e.scope in scopes])
-    node = subscriber.Subscriber(Recorder(), "b1", 1, "", list(scopes), ["a:1"], SHORT, Lcg(1), 0, before)
+    node = subscriber.Subscriber(
+        Recorder(), "b1", 1, "", list(scopes), ["a:1"], SHORT_BOUNDS, Lcg(1), 0, before
+    )
     node.on_message(
         1,
         TenantFilter(
@@ -766,7 +776,7 @@
 def test_store_requests_no_resync_for_versions_it_has():
     store, copies = store_after([[route("x", "a")], [route("x", "a", 2)]])
     host = Recorder()
-    leader_link = leader_session.LeaderSession(host, "r0", 1, "z", ["a:1"], SHORT, store, Lcg(1), 0)
+    leader_link = leader_session.LeaderSession(host, "r0", 1, "z", ["a:1"], SHORT_BOUNDS, store, Lcg(1), 0)
     older = Catalogue(1, copies[1])
     for message in (
         store.snapshot(None).message,
@@ -854,7 +864,7 @@
 def make_tenant_cache(max_tenants=3, **more):
     host = Recorder()
     cache = TenantCache(
-        host, SHORT._replace(max_tenants=max_tenants, tenant_idle=1_000, max_demand=2, **more)
+        host, SHORT_BOUNDS._replace(max_tenants=max_tenants, tenant_idle=1_000, max_demand=2, **more)
     )
     return host, cache
 
@@ -907,7 +917,7 @@
 
 def test_view_confirmed_only_with_all_cached_tenants_current():
     host = Recorder()
-    node = subscriber.Subscriber(host, "b1", 1, "", ["a"], ["a:1"], SHORT, Lcg(1), 0, Catalogue(4))
+    node = subscriber.Subscriber(host, "b1", 1, "", ["a"], ["a:1"], SHORT_BOUNDS, Lcg(1), 0, Catalogue(4))
     for name in ("t1", "t2"):
         node.tenants.look_up(1, name)
     node.tenants.on_update(1, TenantUpdate(4, [tenant("t1", 1), tenant("t2", 1)]), 4)
@@ -944,7 +954,7 @@
 )
 def test_version_reported_only_after_its_tenants(make, proves):
     host = Recorder()
-    node = make(host, "b1", 1, "", ["a"], ["a:1"], SHORT, Lcg(1), 0, Catalogue(4, [route("x", "a")]))
+    node = make(host, "b1", 1, "", ["a"], ["a:1"], SHORT_BOUNDS, Lcg(1), 0, Catalogue(4, [route("x", "a")]))
     node.tenants.look_up(1, "t1")
     node.tenants.on_update(1, TenantUpdate(4, [tenant("t1", 1)]), 4)
     node.on_connected(2)
@@ -982,7 +992,7 @@
 
 
 def test_slow_reader_disconnected_and_other_nodes_updated():
-    world = started_fleet(9, bounds=SHORT._replace(max_unsent_bytes=2_000, silent=60_000))
+    world = started_fleet(9, bounds=SHORT_BOUNDS._replace(max_unsent_bytes=2_000, silent=60_000))
     machine = next(m for m in world.machines.values() if len(m.relay.sessions) > 1)
     slow_one = next(iter(machine.relay.sessions.values())).name
     world.freeze(slow_one)
@@ -1030,7 +1040,7 @@
 def test_tenant_filter_sent_with_snapshot_and_only_by_relay_not_behind_node():
     store, _ = store_after([[tenant("t1", 1), route("x", "a")], [route("x", "a", 2)]])
     host = RelayHost()
-    serving = relay.Relay(host, "r1", 1, SHORT, store, 0)
+    serving = relay.Relay(host, "r1", 1, SHORT_BOUNDS, store, 0)
     serving.on_handshake(1, 7, HandshakeRequest("ahead", 1, "node", "z", ["a"], 3, b"", False))
     serving.on_handshake(1, 8, HandshakeRequest("behind", 1, "node", "z", ["a"], 1, b"", True))
     assert host.kinds() == [(7, "HandshakeReply"), (8, "HandshakeReply"), (8, "Delta")]
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -29,12 +29,12 @@
     encode,
 )
 
-SHORT = Bounds(
+SHORT_BOUNDS = Bounds(
     lease=10_000, heartbeat_interval=1_500, fresh=5_000, stale=15_000, drift=0.1, call_timeout=30_000
 )
 
 
-def with_faults(seed, bounds=SHORT, make=Replica, faults=40):
+def with_faults(seed, bounds=SHORT_BOUNDS, make=Replica, faults=40):
     voters = (3, 5)[seed % 2]
     fleet = Replicas(voters + seed % 3, voters, seed, bounds, make=make)
     FaultInjector(fleet, faults).run()
@@ -50,7 +50,7 @@
 @settings(max_examples=25, deadline=None, derandomize=True, database=None)
 @given(st.integers(1000, 1 << 30), st.sampled_from([3, 5]), st.integers(0, 3), st.integers(5, 60))
 def test_invariants_hold_under_random_faults_in_fleets_of_any_size(seed, voters, more, faults):
-    FaultInjector(Replicas(voters + more, voters, seed, SHORT), faults).run()
+    FaultInjector(Replicas(voters + more, voters, seed, SHORT_BOUNDS), faults).run()
 
 
 def test_invariants_hold_for_every_order_of_two_faults_and_four_rounds():
@@ -87,7 +87,7 @@
     Returns also the deltas to versions 1 and 2, and the sets of both versions.
     """
     host = Recorder()
-    node = Replica(host, "n1", ["n0", "n1", "n2"], ["n0", "n1", "n2"], SHORT, Lcg(1), now)
+    node = Replica(host, "n1", ["n0", "n1", "n2"], ["n0", "n1", "n2"], SHORT_BOUNDS, Lcg(1), now)
     empty = VerdictSet(3, 0, {})
     first, second = ([Verdict("ban", name)] for name in ("s1", "s2"))
     version_1 = empty.with_changes(3, first)
@@ -108,7 +108,7 @@
 
 def test_proposal_not_stored_after_vote_for_another_candidate():
     node, host, deltas, _ = make_follower()
-    late = SHORT.lease + 1
+    late = SHORT_BOUNDS.lease + 1
     node.on_message(late, "n2", VoteRequest(5, 0))
     assert isinstance(host.sent[-1][1], Vote) and host.sent[-1][1].version == 1
     node.on_message(late + 1, "n0", deltas[1])
@@ -347,20 +347,20 @@
 )
 def test_invariants_hold_in_scenario(scenario):
     for seed in range(6):
-        scenario(seed, SHORT, Replica)
+        scenario(seed, SHORT_BOUNDS, Replica)
 
 
 @pytest.mark.parametrize(
     "variant, scenario, seeds", VARIANTS, ids=lambda value: getattr(value, "__name__", str(value))
 )
 def test_faulty_variant_detected(variant, scenario, seeds, monkeypatch):
-    bounds, make = SHORT, Replica
+    bounds, make = SHORT_BOUNDS, Replica
     if issubclass(variant, lease.Voter):
         monkeypatch.setattr(replica, "Voter", variant)
     elif issubclass(variant, Leader):
         monkeypatch.setattr(replica, "Leader", variant)
     elif issubclass(variant, Bounds):
-        bounds = variant(*SHORT)
+        bounds = variant(*SHORT_BOUNDS)
     else:
         make = variant
     for seed in range(seeds):
@@ -373,7 +373,7 @@
 
 # Backends that several nodes report as outliers.
 
-OUTLIER_BOUNDS = SHORT._replace(outlier_quorum=2, outlier_ejection_s=3.0)
+OUTLIER_BOUNDS = SHORT_BOUNDS._replace(outlier_quorum=2, outlier_ejection_s=3.0)
 
 
 def verdicts_of(fleet):
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -12,7 +12,7 @@
 from basalthoist.fleet.quota_leases import Bucket, Limit, QuotaLeaseGranter, QuotaLeaseHolder, max_min
 from basalthoist.fleet.verdicts import Verdict
 
-SHORT = Bounds(
+SHORT_BOUNDS = Bounds(
     lease=10_000,
     heartbeat_interval=1_500,
     fresh=5_000,
@@ -22,11 +22,11 @@
     grant_duration=8_000,
 )
 # Longer than a lease, so that grants outlive the leader that made them.
-LONG = SHORT._replace(grant_duration=30_000)
+LONG = SHORT_BOUNDS._replace(grant_duration=30_000)
 LIMIT = Limit("acme", 200.0, 20.0)
 
 
-def make_fleet(seed=1, count=9, bounds=SHORT, limit=LIMIT, make=LimitedReplicas, **more):
+def make_fleet(seed=1, count=9, bounds=SHORT_BOUNDS, limit=LIMIT, make=LimitedReplicas, **more):
     fleet = make(count, 5, seed, bounds, limit, **more)
     fleet.run(6 * bounds.lease)
     return fleet
@@ -63,7 +63,7 @@
 @settings(max_examples=10, deadline=None, derandomize=True, database=None)
 @given(st.integers(100, 1 << 30), st.integers(3, 9), st.floats(1.0, 500.0), st.floats(0.0, 50.0))
 def test_admitted_requests_within_any_limit_under_faults(seed, count, rate, burst):
-    fleet = LimitedReplicas(count, 3, seed, SHORT, Limit("acme", rate, burst))
+    fleet = LimitedReplicas(count, 3, seed, SHORT_BOUNDS, Limit("acme", rate, burst))
     moving_traffic(fleet, 8, 0.7)
 
 
@@ -167,12 +167,12 @@
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda value: value.__name__)
 def test_limit_kept_in_scenario(scenario):
     for seed in range(4):
-        scenario(make_fleet(seed, bounds=(SHORT, LONG)[seed % 2]))
+        scenario(make_fleet(seed, bounds=(SHORT_BOUNDS, LONG)[seed % 2]))
 
 
 @pytest.mark.parametrize("variant, scenario", VARIANTS, ids=lambda value: value.__name__)
 def test_faulty_variant_detected(variant, scenario, monkeypatch):
-    bounds = variant(*SHORT) if issubclass(variant, Bounds) else SHORT
+    bounds = variant(*SHORT_BOUNDS) if issubclass(variant, Bounds) else SHORT_BOUNDS
     bounds = LONG if variant is IgnoresEarlierGrants else variant(*LONG) if variant is NoDrift else bounds
     if issubclass(variant, QuotaLeaseGranter):
         monkeypatch.setattr(leader, "QuotaLeaseGranter", variant)
@@ -188,7 +188,7 @@
 
 @pytest.mark.parametrize("hot", [["n0"], ["n3", "n8"], [f"n{i}" for i in range(9)]])
 def test_limit_used_within_two_seconds_of_traffic_shift(hot):
-    fleet = make_fleet(bounds=SHORT._replace(drift=0.01), limit=LIMIT._replace(burst=90.0))
+    fleet = make_fleet(bounds=SHORT_BOUNDS._replace(drift=0.01), limit=LIMIT._replace(burst=90.0))
     fleet.loads = {"n5": 400.0}
     fleet.run(fleet.at + 50_000)
     fleet.loads = {name: 400.0 / len(hot) for name in hot}
@@ -206,12 +206,12 @@
     leader_name = fleet.leader()
     isolated = [name for name in fleet.names if name != leader_name][-4:]  # at most one of them is a voter
     fleet.split(isolated, [name for name in fleet.names if name not in isolated])
-    fleet.run(fleet.at + 3 * SHORT.lease)
+    fleet.run(fleet.at + 3 * SHORT_BOUNDS.lease)
     before = dict(fleet.admitted_by)
     fleet.run(fleet.at + 50_000)
     leader_side = sum(fleet.admitted_by[n] - before[n] for n in fleet.names if n not in isolated) / 5
     other_side = sum(fleet.admitted_by[n] - before[n] for n in isolated) / 5
-    guaranteed = SHORT.guaranteed_fraction * LIMIT.rate * 4 / 9
+    guaranteed = SHORT_BOUNDS.guaranteed_fraction * LIMIT.rate * 4 / 9
     assert other_side == pytest.approx(guaranteed, rel=0.15)
     assert leader_side + guaranteed >= 0.95 * LIMIT.rate
 
@@ -223,7 +223,7 @@
 
 
 def test_rate_of_closed_nodes_used_by_others():
-    fleet = make_fleet(4, limit=LIMIT._replace(burst=90.0), bounds=SHORT._replace(drift=0.01))
+    fleet = make_fleet(4, limit=LIMIT._replace(burst=90.0), bounds=SHORT_BOUNDS._replace(drift=0.01))
     fleet.loads = {"n1": 400.0}
     for name in fleet.names[3:]:
         fleet.replica_nodes[name].holder.close(fleet.replica_nodes[name].now())
@@ -246,7 +246,7 @@
     for number, rate in enumerate((2000.0, 20.0, 0.0, 200.0)):
         fleet.limit = fleet.limit._replace(rate=max(rate, fleet.limit.rate))
         fleet.call(fleet.leader(), number, [Verdict("quota", "acme", figure=rate)])
-        fleet.run(fleet.at + 3 * SHORT.lease)
+        fleet.run(fleet.at + 3 * SHORT_BOUNDS.lease)
         fleet.limit = fleet.limit._replace(rate=rate)
         since = fleet.at
         fleet.run(fleet.at + 50_000)
