--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -31,12 +31,12 @@
 from basalthoist.emulator import costs
 from basalthoist.emulator.distributed import Distributed, route, tenant
 from basalthoist.emulator.replicas import Broken
-from basalthoist.emulator.storms import REGISTER, SHORT, DistributionFaultInjector, run_random_faults
+from basalthoist.emulator.storms import REGISTER, SHORT_BOUNDS, DistributionFaultInjector, run_random_faults
 
 LEASE = REGISTER.lease
 
 
-def begun(seed, make=None, count=12, voters=3, relays=3, regions=3, told=SHORT, **more):
+def begun(seed, make=None, count=12, voters=3, relays=3, regions=3, told=SHORT_BOUNDS, **more):
     """A fleet with an author and a catalogue that is in force everywhere."""
     make = dict(make or {})
     told = make.pop("told", told)
@@ -239,7 +239,7 @@
 @settings(max_examples=8, deadline=None, derandomize=True, database=None)
 @given(st.integers(0, 1 << 30), st.lists(FAULTS, min_size=3, max_size=8))
 def test_any_order_of_faults_and_calls(seed, faults):
-    world = Distributed(8, 3, 2, seed, SHORT, REGISTER)
+    world = Distributed(8, 3, 2, seed, SHORT_BOUNDS, REGISTER)
     for number, node in enumerate(world.nodes.values()):
         node.looked_up = [f"t{number}"]
     made = DistributionFaultInjector(world, 0)
@@ -390,7 +390,7 @@
 
 
 BUILDS = [
-    ({"told": Undated(*SHORT)}, lost_nodes, "said to be in force"),
+    ({"told": Undated(*SHORT_BOUNDS)}, lost_nodes, "said to be in force"),
     ({"publisher": WithoutLease}, cut_region, "replaced|in force"),
     ({"publisher": BeforeHead}, cut_region, "fork|does not count|follows|replaced"),
     ({"publisher": Impatient}, cut_region, "said to be in force"),
@@ -438,7 +438,7 @@
 
 
 def test_nodes_spread_evenly_over_the_relays_of_their_region():
-    world = begun(4, count=60, told=SHORT._replace(min_sessions=5))
+    world = begun(4, count=60, told=SHORT_BOUNDS._replace(min_sessions=5))
     world.run(world.at + 20 * LEASE)
     there = at_relays(world)
     assert sum(there.values()) == 60 and max(there.values()) <= 1.25 * 60 / 6 + 1
@@ -448,7 +448,10 @@
 
 def test_nodes_that_know_the_seeds_alone_are_told_of_the_others():
     world = begun(
-        12, count=90, relays=6, told=SHORT._replace(min_sessions=10, preferred_relay_interval=10_000_000)
+        12,
+        count=90,
+        relays=6,
+        told=SHORT_BOUNDS._replace(min_sessions=10, preferred_relay_interval=10_000_000),
     )
     for node in world.nodes.values():
         world.kill(node.name)
@@ -477,7 +480,7 @@
 
 
 def test_a_zone_that_starts_at_once_with_nothing_is_paced():
-    told = SHORT._replace(sessions_per_s=20, snapshot_bytes_per_s=20_000)
+    told = SHORT_BOUNDS._replace(sessions_per_s=20, snapshot_bytes_per_s=20_000)
     world = begun(6, count=90, told=told)
     zone = [node for node in world.nodes.values() if node.region == "z1"]
     for node in zone:
@@ -524,7 +527,7 @@
 
 
 def test_a_node_that_serves_on_says_how_old_its_view_is():
-    world = begun(10, told=SHORT._replace(strict=False))
+    world = begun(10, told=SHORT_BOUNDS._replace(strict=False))
     node = world.nodes["b1"]
     world.isolate("b1")
     calls(world, "r0", 10, 30, 1_000)
@@ -545,7 +548,7 @@
 
 
 def test_only_so_many_calls_are_under_way_and_each_is_answered():
-    world = begun(11, told=SHORT._replace(max_calls=5))
+    world = begun(11, told=SHORT_BOUNDS._replace(max_calls=5))
     for voter in world.voters:
         if voter != world.author():
             world.isolate(voter)  # no majority: nothing comes to count
@@ -612,7 +615,9 @@
     made, copies = filled(steps, most)
     version = min(start, made.version)
     before = Catalogue(version, [e for e in copies[version] if e.kind != "tenant" and e.scope in scopes])
-    node = subscriber.Subscriber(Recorder(), "b1", 1, "", list(scopes), ["a:1"], SHORT, Lcg(1), 0, before)
+    node = subscriber.Subscriber(
+        Recorder(), "b1", 1, "", list(scopes), ["a:1"], SHORT_BOUNDS, Lcg(1), 0, before
+    )
     node.on_message(
         1,
         TenantFilter(
@@ -741,7 +746,7 @@
 def test_a_store_asks_no_more_for_what_it_holds_or_is_ahead_of():
     made, copies = filled([[route("x", "a")], [route("x", "a", 2)]])
     host = Recorder()
-    fed = leader_session.LeaderSession(host, "r0", 1, "z", ["a:1"], SHORT, made, Lcg(1), 0)
+    fed = leader_session.LeaderSession(host, "r0", 1, "z", ["a:1"], SHORT_BOUNDS, made, Lcg(1), 0)
     older = Catalogue(1, copies[1])
     for message in (
         made.snapshot(None).message,
@@ -827,7 +832,7 @@
 
 def here(most=3, **more):
     host = Recorder()
-    made = TenantCache(host, SHORT._replace(max_tenants=most, tenant_idle=1_000, max_demand=2, **more))
+    made = TenantCache(host, SHORT_BOUNDS._replace(max_tenants=most, tenant_idle=1_000, max_demand=2, **more))
     return host, made
 
 
@@ -876,7 +881,7 @@
 
 def test_a_confirmation_counts_only_with_the_tenants_held():
     host = Recorder()
-    node = subscriber.Subscriber(host, "b1", 1, "", ["a"], ["a:1"], SHORT, Lcg(1), 0, Catalogue(4))
+    node = subscriber.Subscriber(host, "b1", 1, "", ["a"], ["a:1"], SHORT_BOUNDS, Lcg(1), 0, Catalogue(4))
     for name in ("t1", "t2"):
         node.tenants.look_up(1, name)
     node.tenants.on_update(1, TenantUpdate(4, [tenant("t1", 1), tenant("t2", 1)]), 4)
@@ -909,7 +914,7 @@
 @pytest.mark.parametrize("make, proves", [(subscriber.Subscriber, True), (Unproven, False)])
 def test_a_version_is_said_to_be_acted_on_only_with_its_tenants(make, proves):
     host = Recorder()
-    node = make(host, "b1", 1, "", ["a"], ["a:1"], SHORT, Lcg(1), 0, Catalogue(4, [route("x", "a")]))
+    node = make(host, "b1", 1, "", ["a"], ["a:1"], SHORT_BOUNDS, Lcg(1), 0, Catalogue(4, [route("x", "a")]))
     node.tenants.look_up(1, "t1")
     node.tenants.on_update(1, TenantUpdate(4, [tenant("t1", 1)]), 4)
     node.on_connected(2)
@@ -947,7 +952,7 @@
 
 
 def test_one_that_reads_slowly_is_let_go_and_the_others_are_told():
-    world = begun(9, told=SHORT._replace(max_unsent_bytes=2_000, silent=60_000))
+    world = begun(9, told=SHORT_BOUNDS._replace(max_unsent_bytes=2_000, silent=60_000))
     machine = next(m for m in world.machines.values() if len(m.relay.sessions) > 1)
     slow_one = next(iter(machine.relay.sessions.values())).name
     world.freeze(slow_one)
@@ -995,7 +1000,7 @@
 def test_names_come_with_a_snapshot_and_only_when_the_relay_is_as_far_as_the_node():
     made, _ = filled([[tenant("t1", 1), route("x", "a")], [route("x", "a", 2)]])
     host = RelayHost()
-    there = relay.Relay(host, "r1", 1, SHORT, made, 0)
+    there = relay.Relay(host, "r1", 1, SHORT_BOUNDS, made, 0)
     there.on_handshake(1, 7, HandshakeRequest("ahead", 1, "node", "z", ["a"], 3, b"", False))
     there.on_handshake(1, 8, HandshakeRequest("behind", 1, "node", "z", ["a"], 1, b"", True))
     assert host.kinds() == [(7, "HandshakeReply"), (8, "HandshakeReply"), (8, "Delta")]
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -26,12 +26,12 @@
     encode,
 )
 
-SHORT = Bounds(
+SHORT_BOUNDS = Bounds(
     lease=10_000, heartbeat_interval=1_500, fresh=5_000, stale=15_000, drift=0.1, call_timeout=30_000
 )
 
 
-def with_faults(seed, bounds=SHORT, make=Replica, faults=40):
+def with_faults(seed, bounds=SHORT_BOUNDS, make=Replica, faults=40):
     voters = (3, 5)[seed % 2]
     fleet = Replicas(voters + seed % 3, voters, seed, bounds, make=make)
     FaultInjector(fleet, faults).run()
@@ -47,7 +47,7 @@
 @settings(max_examples=25, deadline=None, derandomize=True, database=None)
 @given(st.integers(1000, 1 << 30), st.sampled_from([3, 5]), st.integers(0, 3), st.integers(5, 60))
 def test_random_faults_of_any_size(seed, voters, more, faults):
-    FaultInjector(Replicas(voters + more, voters, seed, SHORT), faults).run()
+    FaultInjector(Replicas(voters + more, voters, seed, SHORT_BOUNDS), faults).run()
 
 
 def test_every_order_of_two_faults_and_four_rounds():
@@ -81,7 +81,7 @@
 def follower(now=0):
     """It follows n0 in term 3 and has stored version 1; with the changes to versions 1 and 2, and both."""
     host = Recorder()
-    made = Replica(host, "n1", ["n0", "n1", "n2"], ["n0", "n1", "n2"], SHORT, Lcg(1), now)
+    made = Replica(host, "n1", ["n0", "n1", "n2"], ["n0", "n1", "n2"], SHORT_BOUNDS, Lcg(1), now)
     empty = VerdictSet(3, 0, {})
     first, second = ([Verdict("ban", name)] for name in ("s1", "s2"))
     one = empty.with_changes(3, first)
@@ -102,7 +102,7 @@
 
 def test_nothing_more_is_taken_from_a_leader_after_a_vote_for_another():
     made, host, changes, _ = follower()
-    late = SHORT.lease + 1
+    late = SHORT_BOUNDS.lease + 1
     made.on_message(late, "n2", VoteRequest(5, 0))
     assert isinstance(host.sent[-1][1], Vote) and host.sent[-1][1].version == 1
     made.on_message(late + 1, "n0", changes[1])
@@ -337,18 +337,18 @@
 @pytest.mark.parametrize("play", [isolated, lossy, alone, frozen, amnesia], ids=lambda one: one.__name__)
 def test_plays(play):
     for seed in range(6):
-        play(seed, SHORT, Replica)
+        play(seed, SHORT_BOUNDS, Replica)
 
 
 @pytest.mark.parametrize("broken, play, seeds", BUILDS, ids=lambda one: getattr(one, "__name__", str(one)))
 def test_broken_builds_are_caught(broken, play, seeds, monkeypatch):
-    bounds, make = SHORT, Replica
+    bounds, make = SHORT_BOUNDS, Replica
     if issubclass(broken, lease.Voter):
         monkeypatch.setattr(replica, "Voter", broken)
     elif issubclass(broken, Leader):
         monkeypatch.setattr(replica, "Leader", broken)
     elif issubclass(broken, Bounds):
-        bounds = broken(*SHORT)
+        bounds = broken(*SHORT_BOUNDS)
     else:
         make = broken
     for seed in range(seeds):
@@ -361,7 +361,7 @@
 
 # Backends that several nodes find sick.
 
-FINDS = SHORT._replace(outlier_quorum=2, outlier_ejection_s=3.0)
+FINDS = SHORT_BOUNDS._replace(outlier_quorum=2, outlier_ejection_s=3.0)
 
 
 def verdicts_of(fleet):
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -12,7 +12,7 @@
 from basalthoist.fleet.quota_leases import Bucket, Limit, QuotaLeaseGranter, QuotaLeaseHolder, max_min
 from basalthoist.fleet.verdicts import Verdict
 
-SHORT = Bounds(
+SHORT_BOUNDS = Bounds(
     lease=10_000,
     heartbeat_interval=1_500,
     fresh=5_000,
@@ -21,11 +21,11 @@
     call_timeout=30_000,
     grant_duration=8_000,
 )
-LONG = SHORT._replace(grant_duration=30_000)  # longer than a lease: a leader's grants outlive it
+LONG = SHORT_BOUNDS._replace(grant_duration=30_000)  # longer than a lease: a leader's grants outlive it
 LIMIT = Limit("acme", 200.0, 20.0)
 
 
-def fleet(seed=1, count=9, bounds=SHORT, limit=LIMIT, make=LimitedReplicas, **more):
+def fleet(seed=1, count=9, bounds=SHORT_BOUNDS, limit=LIMIT, make=LimitedReplicas, **more):
     made = make(count, 5, seed, bounds, limit, **more)
     made.run(6 * bounds.lease)
     return made
@@ -57,7 +57,7 @@
 @settings(max_examples=10, deadline=None, derandomize=True, database=None)
 @given(st.integers(100, 1 << 30), st.integers(3, 9), st.floats(1.0, 500.0), st.floats(0.0, 50.0))
 def test_the_sum_is_never_over_its_bound_whatever_the_limit(seed, count, rate, burst):
-    made = LimitedReplicas(count, 3, seed, SHORT, Limit("acme", rate, burst))
+    made = LimitedReplicas(count, 3, seed, SHORT_BOUNDS, Limit("acme", rate, burst))
     moving(made, 8, 0.7)
 
 
@@ -161,12 +161,12 @@
 @pytest.mark.parametrize("play", PLAYS, ids=lambda one: one.__name__)
 def test_plays(play):
     for seed in range(4):
-        play(fleet(seed, bounds=(SHORT, LONG)[seed % 2]))
+        play(fleet(seed, bounds=(SHORT_BOUNDS, LONG)[seed % 2]))
 
 
 @pytest.mark.parametrize("broken, play", BUILDS, ids=lambda one: one.__name__)
 def test_broken_builds_are_caught(broken, play, monkeypatch):
-    bounds = broken(*SHORT) if issubclass(broken, Bounds) else SHORT
+    bounds = broken(*SHORT_BOUNDS) if issubclass(broken, Bounds) else SHORT_BOUNDS
     bounds = LONG if broken is Hurried else broken(*LONG) if broken is NoDrift else bounds
     if issubclass(broken, QuotaLeaseGranter):
         monkeypatch.setattr(leader, "QuotaLeaseGranter", broken)
@@ -182,7 +182,7 @@
 
 @pytest.mark.parametrize("hot", [["n0"], ["n3", "n8"], [f"n{i}" for i in range(9)]])
 def test_nearly_all_of_it_is_used_within_two_seconds_of_a_shift(hot):
-    made = fleet(bounds=SHORT._replace(drift=0.01), limit=LIMIT._replace(burst=90.0))
+    made = fleet(bounds=SHORT_BOUNDS._replace(drift=0.01), limit=LIMIT._replace(burst=90.0))
     made.loads = {"n5": 400.0}
     made.run(made.at + 50_000)
     made.loads = {name: 400.0 / len(hot) for name in hot}
@@ -200,12 +200,12 @@
     leading = made.leader()
     away = [name for name in made.names if name != leading][-4:]  # with one voter at the most
     made.split(away, [name for name in made.names if name not in away])
-    made.run(made.at + 3 * SHORT.lease)
+    made.run(made.at + 3 * SHORT_BOUNDS.lease)
     before = dict(made.admitted_by)
     made.run(made.at + 50_000)
     near = sum(made.admitted_by[n] - before[n] for n in made.names if n not in away) / 5
     far = sum(made.admitted_by[n] - before[n] for n in away) / 5
-    guaranteed = SHORT.guaranteed_part * LIMIT.rate * 4 / 9
+    guaranteed = SHORT_BOUNDS.guaranteed_part * LIMIT.rate * 4 / 9
     assert far == pytest.approx(guaranteed, rel=0.15)
     assert near + guaranteed >= 0.95 * LIMIT.rate
 
@@ -217,7 +217,7 @@
 
 
 def test_what_resting_nodes_do_not_use_others_can():
-    made = fleet(4, limit=LIMIT._replace(burst=90.0), bounds=SHORT._replace(drift=0.01))
+    made = fleet(4, limit=LIMIT._replace(burst=90.0), bounds=SHORT_BOUNDS._replace(drift=0.01))
     made.loads = {"n1": 400.0}
     for name in made.names[3:]:
         made.replica_nodes[name].holder.close(made.replica_nodes[name].now())
@@ -240,7 +240,7 @@
     for number, rate in enumerate((2000.0, 20.0, 0.0, 200.0)):
         made.limit = made.limit._replace(rate=max(rate, made.limit.rate))
         made.call(made.leader(), number, [Verdict("quota", "acme", figure=rate)])
-        made.run(made.at + 3 * SHORT.lease)
+        made.run(made.at + 3 * SHORT_BOUNDS.lease)
         made.limit = made.limit._replace(rate=rate)
         since = made.at
         made.run(made.at + 50_000)
