--- a/basalthoist/emulator/storms.py
+++ b/basalthoist/emulator/storms.py
@@ -13,7 +13,7 @@
 from .replicas import Broken
 
 # Short, so that much happens in little time; clocks are 10% off.
-REGISTER = FleetBounds(
+REGISTER_BOUNDS = FleetBounds(
     lease=10_000, heartbeat_interval=1_500, fresh=5_000, stale=15_000, drift=0.1, call_timeout=30_000
 )
 SHORT_BOUNDS = Bounds(
@@ -196,7 +196,7 @@
     seed: int, faults: int, gap: float = 0.0, make: dict[str, type] | None = None
 ) -> DistributionFaultInjector:
     """One that has run. Raises Broken."""
-    world = Distributed(12, (3, 5)[seed % 2], 2, seed, SHORT_BOUNDS, REGISTER, make=make)
+    world = Distributed(12, (3, 5)[seed % 2], 2, seed, SHORT_BOUNDS, REGISTER_BOUNDS, make=make)
     for number, node in enumerate(world.nodes.values()):
         node.looked_up = [f"t{number % TENANTS}", f"t{(number + 5) % TENANTS}"]
     made = DistributionFaultInjector(world, faults, gap=gap)
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -31,16 +31,21 @@
 from basalthoist.emulator import costs
 from basalthoist.emulator.distributed import Distributed, route, tenant
 from basalthoist.emulator.replicas import Broken
-from basalthoist.emulator.storms import REGISTER, SHORT_BOUNDS, DistributionFaultInjector, run_random_faults
+from basalthoist.emulator.storms import (
+    REGISTER_BOUNDS,
+    SHORT_BOUNDS,
+    DistributionFaultInjector,
+    run_random_faults,
+)
 
-LEASE = REGISTER.lease
+LEASE = REGISTER_BOUNDS.lease
 
 
 def begun(seed, make=None, count=12, voters=3, relays=3, regions=3, told=SHORT_BOUNDS, **more):
     """A fleet with an author and a catalogue that is in force everywhere."""
     make = dict(make or {})
     told = make.pop("told", told)
-    world = Distributed(count, voters, relays, seed, told, REGISTER, regions, make=make, **more)
+    world = Distributed(count, voters, relays, seed, told, REGISTER_BOUNDS, regions, make=make, **more)
     for number, node in enumerate(world.nodes.values()):
         node.looked_up = [f"t{number % 8}", f"t{(number + 3) % 8}"]
     while not world.author():
@@ -239,7 +244,7 @@
 @settings(max_examples=8, deadline=None, derandomize=True, database=None)
 @given(st.integers(0, 1 << 30), st.lists(FAULTS, min_size=3, max_size=8))
 def test_any_order_of_faults_and_calls(seed, faults):
-    world = Distributed(8, 3, 2, seed, SHORT_BOUNDS, REGISTER)
+    world = Distributed(8, 3, 2, seed, SHORT_BOUNDS, REGISTER_BOUNDS)
     for number, node in enumerate(world.nodes.values()):
         node.looked_up = [f"t{number}"]
     made = DistributionFaultInjector(world, 0)
