--- a/basalthoist/emulator/rate_limits.py
+++ b/basalthoist/emulator/rate_limits.py
@@ -18,7 +18,7 @@
 from .replicas import TICK, UNITS_PER_SECOND, Broken, ReplicaNode, Replicas
 
 SLACK = 0.01  # requests a second: what rounding may leave
-USUAL = Bounds(20_000, 2_000, 10_000, 40_000, 0.001, 60_000)
+USUAL_BOUNDS = Bounds(20_000, 2_000, 10_000, 40_000, 0.001, 60_000)
 MAX_WAITING = 100.0  # requests that wait at a frozen node
 WINDOWS = 0.1, 0.5, 1.0, 2.0, 5.0  # seconds
 
@@ -153,9 +153,9 @@
     Seconds until 95% of the limit is used again and for a second; shares while all want as much; bytes.
     """
     limit = Limit("any", per_node * count / 2, 4.0 * count)
-    fleet = LargeFleet(count, 5, seed, USUAL, limit)
+    fleet = LargeFleet(count, 5, seed, USUAL_BOUNDS, limit)
     fleet.loads = dict.fromkeys(fleet.names, per_node)
-    fleet.run(8 * USUAL.lease)
+    fleet.run(8 * USUAL_BOUNDS.lease)
     before = dict(fleet.admitted_by)
     fleet.bytes.clear()
     began = time.process_time()
@@ -189,11 +189,11 @@
 def leader_ms(count: int, limits: int = 1, times: int = 20) -> float:
     """Processor time of the leader's books for one round of heartbeats, in ms."""
     many = [Limit(f"c{number}", 1000.0, 10.0) for number in range(limits)]
-    granter = QuotaLeaseGranter(many, count, USUAL, 0)
+    granter = QuotaLeaseGranter(many, count, USUAL_BOUNDS, 0)
     names = [f"n{number}" for number in range(count)]
     began = time.process_time()
     for number in range(times):
-        now = granter.silent_until + number * USUAL.heartbeat_interval
+        now = granter.silent_until + number * USUAL_BOUNDS.heartbeat_interval
         for place, name in enumerate(names):
             demand = Demand([(i, 5.0 + place % 7) for i in range(limits)], False, True)
             granter.on_demand(now, name, demand, now - 500)
--- a/basalthoist/experiments/cluster/cost.py
+++ b/basalthoist/experiments/cluster/cost.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from basalthoist.decisions.random_numbers import Lcg
-from basalthoist.emulator.rate_limits import USUAL, WeighedReplicas
+from basalthoist.emulator.rate_limits import USUAL_BOUNDS, WeighedReplicas
 from basalthoist.fleet.replica import Replica
 from basalthoist.fleet.verdicts import Verdict, VerdictSet
 from basalthoist.net.runtime.timers import boot_time_now
@@ -57,8 +57,8 @@
 
 def words(nodes: int, seconds: int = 20) -> tuple[float, float]:
     """Bytes a second of the leader, and of each other node on the mean, without changes or faults."""
-    fleet = WeighedReplicas(nodes, 5, 1, USUAL)
-    fleet.run(5 * USUAL.lease)
+    fleet = WeighedReplicas(nodes, 5, 1, USUAL_BOUNDS)
+    fleet.run(5 * USUAL_BOUNDS.lease)
     fleet.bytes.clear()
     fleet.run(fleet.at + seconds * 10_000)
     mine = fleet.bytes.pop(fleet.leader())
@@ -84,7 +84,9 @@
 
 def view_check_us(times: int = 200_000) -> float:
     """Microseconds that an exchange spends on asking whether its node's view still counts."""
-    replica = Replica(Nobody(), "n0", ["n0", "n1", "n2"], ["n0", "n1", "n2"], USUAL, Lcg(1), boot_time_now())
+    replica = Replica(
+        Nobody(), "n0", ["n0", "n1", "n2"], ["n0", "n1", "n2"], USUAL_BOUNDS, Lcg(1), boot_time_now()
+    )
     began = time.process_time()
     for _ in range(times):
         replica.may_forward_requests(boot_time_now())
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -6,7 +6,7 @@
 
 from helpers import NOW, DiscoveryStandIn, StandIn, listed, member, node, reply, request, wait_for
 
-USUAL, LARGE = 200, 3200
+USUAL_BOUNDS, LARGE = 200, 3200
 PLAY_S = 8.0
 REPLACED_IN_S = (
     200.0  # the whole of the list, at the pace of its changes: faster than in any of the page's days
@@ -58,7 +58,7 @@
 
 def test_processor_time_and_memory_grow_no_more_than_told(start):
     backends = [StandIn(reply()) for _ in range(16)]
-    cpu, memory = needs(start, backends, USUAL)
+    cpu, memory = needs(start, backends, USUAL_BOUNDS)
     cpu_large, memory_large = needs(start, backends, LARGE)
     thousands = LARGE / 1000
     print(f"{cpu:.2f} to {cpu_large:.2f} s of processor time, {memory:.0f} to {memory_large:.0f} MB")
@@ -80,4 +80,4 @@
 
 
 def test_a_change_in_a_long_list_costs_hardly_more_than_in_a_short_one():
-    assert time_of_a_change(LARGE) < 4 * time_of_a_change(USUAL)
+    assert time_of_a_change(LARGE) < 4 * time_of_a_change(USUAL_BOUNDS)
