--- a/basalthoist/emulator/rate_limits.py
+++ b/basalthoist/emulator/rate_limits.py
@@ -28,7 +28,7 @@
     return rate * seconds * (1 + drift) + max(burst, nodes) + nodes
 
 
-def most_within(times: Sequence[float], window: float) -> int:
+def max_in_window(times: Sequence[float], window: float) -> int:
     """The most of the times, which are in order, that lie in any one window."""
     return max((bisect_right(times, at + window) - number for number, at in enumerate(times)), default=0)
 
@@ -104,7 +104,7 @@
         return [
             WindowCount(
                 seconds,
-                most_within(self.admitted, int(seconds * UNITS_PER_SECOND)),
+                max_in_window(self.admitted, int(seconds * UNITS_PER_SECOND)),
                 allowed(*limit, seconds),
             )
             for seconds in lengths
--- a/basalthoist/experiments/cluster/checker.py
+++ b/basalthoist/experiments/cluster/checker.py
@@ -4,7 +4,7 @@
 from collections import Counter
 from typing import NamedTuple
 
-from basalthoist.emulator.rate_limits import allowed, most_within
+from basalthoist.emulator.rate_limits import allowed, max_in_window
 
 KEPT = re.compile(r"^(?:SUCCESS|FAILURE) version (\d+) ")
 SUCCESS = re.compile(r"^SUCCESS version (\d+) (?:in force )?at (\d+) of (\d+)")
@@ -69,7 +69,7 @@
     longer by what may lie between."""
     times, found = first_runs(runs), []
     for window in WINDOWS:
-        most = most_within(times, window)
+        most = max_in_window(times, window)
         bound = allowed(told.limit, told.burst, told.nodes, told.drift, window + ON_THE_WAY)
         line = f"{most} let in within {window:g} s, {bound:.1f} allowed" if most > bound else ""
         found.append((line, most / bound))
