--- a/basalthoist/emulator/rate_limits.py
+++ b/basalthoist/emulator/rate_limits.py
@@ -121,7 +121,7 @@
     return sum(shares) ** 2 / (len(shares) * squares) if squares else 1.0
 
 
-class WeighedReplicas(Replicas):
+class ByteCountingReplicas(Replicas):
     """Counts what each node sends, in bytes with headers."""
 
     def __init__(self, *arguments: Any, **options: Any) -> None:
@@ -135,7 +135,7 @@
         super().sent(source, name, message)
 
 
-class LargeFleet(LimitedReplicas, WeighedReplicas):
+class LargeFleet(LimitedReplicas, ByteCountingReplicas):
     """Too large to judge at every message: the sum is looked at ten times a second."""
 
     judged_at = -1
--- a/basalthoist/experiments/cluster/cost.py
+++ b/basalthoist/experiments/cluster/cost.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from basalthoist.decisions.random_numbers import Lcg
-from basalthoist.emulator.rate_limits import USUAL_BOUNDS, WeighedReplicas
+from basalthoist.emulator.rate_limits import USUAL_BOUNDS, ByteCountingReplicas
 from basalthoist.fleet.replica import Replica
 from basalthoist.fleet.verdicts import Verdict, VerdictSet
 from basalthoist.net.runtime.timers import boot_time_now
@@ -57,7 +57,7 @@
 
 def words(nodes: int, seconds: int = 20) -> tuple[float, float]:
     """Bytes a second of the leader, and of each other node on the mean, without changes or faults."""
-    fleet = WeighedReplicas(nodes, 5, 1, USUAL_BOUNDS)
+    fleet = ByteCountingReplicas(nodes, 5, 1, USUAL_BOUNDS)
     fleet.run(5 * USUAL_BOUNDS.lease)
     fleet.bytes.clear()
     fleet.run(fleet.at + seconds * 10_000)
