--- a/basalthoist/emulator/ramp.py
+++ b/basalthoist/emulator/ramp.py
@@ -51,8 +51,10 @@
         return self.sent / (self.allowed + self.chance)
 
 
-def judge(arrivals: list[Arrival], started: int, terms: Backends, warm_rate: float, all_told=False) -> Worst:
-    """Judged at each arrival up to the ramp's end; `all_told` counts what the page excuses as well."""
+def judge(
+    arrivals: list[Arrival], started: int, terms: Backends, warm_rate: float, include_excused=False
+) -> Worst:
+    """Judged at each arrival up to the ramp's end; `include_excused` counts what the page excuses as well."""
     window, ramp = int(terms.fall_s * SECOND), terms.warm_s * SECOND
     within: deque[Arrival] = deque()
     sent = told = 0.0
@@ -68,7 +70,7 @@
             sent, told = sent - old.work, told - old.work * old.told
         share = terms.cold_from + (1 - terms.cold_from) * (one.at - started) / ramp
         here = Worst(sent, least / terms.cold_from * share, (one.at - started) / SECOND)
-        if here.part > worst.part and (all_told or told > TOLD * sent):
+        if here.part > worst.part and (include_excused or told > TOLD * sent):
             worst = here
     return worst
 
@@ -169,7 +171,7 @@
             self.heard[node.number] = self.events.now
         super().told(node, entries)
 
-    def worst(self, all_told: bool = False) -> Worst:
+    def worst(self, include_excused: bool = False) -> Worst:
         """Of all that started cold."""
         terms = msgspec.structs.replace(self.scenario.backends, fall_multiple=self.case.multiple)
         mean, found = 10 * self.scenario.routes[0].service_ms, []
@@ -177,7 +179,7 @@
             arrivals = [Arrival(at, work / mean, self.heard.get(self.ledger.records[ident].node, at) < at)
                         for at, ident, work in server.arrived]  # fmt: skip
             warm_rate = server.kind.slots * server.kind.speed * SECOND / mean
-            found.append(judge(arrivals, server.started, terms, warm_rate, all_told))
+            found.append(judge(arrivals, server.started, terms, warm_rate, include_excused))
         return max(found, key=lambda worst: worst.part)
 
 
--- a/basalthoist/experiments/cold_start.py
+++ b/basalthoist/experiments/cold_start.py
@@ -182,12 +182,12 @@
         late_ms = max(one.late_ms() for one in clients)
         return self.worst(), self.worst(True), len(self.cold.arrived), late_ms
 
-    def worst(self, all_told: bool = False) -> Worst:
+    def worst(self, include_excused: bool = False) -> Worst:
         mean = 10 * self.scenario.routes[0].service_ms
         arrivals = [Arrival(int(at * SECOND), work / mean, self.told_at.get(node, at) < at)
                     for at, node, work in self.cold.arrived]  # fmt: skip
         warm_rate = self.cold.kind.slots * SECOND / mean
-        return judge(arrivals, int(self.cold.started * SECOND), self.terms, warm_rate, all_told)
+        return judge(arrivals, int(self.cold.started * SECOND), self.terms, warm_rate, include_excused)
 
 
 def on_loopback(kind: str, case: Case, seed: int) -> list:
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -41,7 +41,7 @@
 
 def test_a_fall_of_which_two_thirds_came_from_nodes_not_told_is_excused():
     both = arrivals(*[0.1] * 20) + arrivals(*[0.0] * 10, told=False)
-    assert judged(both).sent < 30.0 and judged(both, all_told=True).sent == 30.0
+    assert judged(both).sent < 30.0 and judged(both, include_excused=True).sent == 30.0
     assert judged(both + arrivals(0.2)).sent == 31.0  # over two thirds
 
 
