--- a/basalthoist/emulator/ramp.py
+++ b/basalthoist/emulator/ramp.py
@@ -20,7 +20,12 @@
 
 START_S = 6.0
 TOLD = 2 / 3  # of a fall's work, over which it counts
-LISTS = ("once", "late", "half", "half_warm")  # told at once; seconds late; half not at all, or as long warm
+LIST_UPDATES = (
+    "once",
+    "late",
+    "half",
+    "half_warm",
+)  # told at once; seconds late; half not at all, or as long warm
 KNOWLEDGE = ("neither", "probes", "peers")
 
 
--- a/basalthoist/experiments/cold_start.py
+++ b/basalthoist/experiments/cold_start.py
@@ -17,7 +17,7 @@
 
 from basalthoist.addresses import address_of
 from basalthoist.emulator.events import SECOND
-from basalthoist.emulator.ramp import KNOWLEDGE, LISTS, START_S, Arrival, Case, Worst, judge, play
+from basalthoist.emulator.ramp import KNOWLEDGE, LIST_UPDATES, START_S, Arrival, Case, Worst, judge, play
 
 from .loopback import (
     Clients,
@@ -51,7 +51,7 @@
         for knowledge in KNOWLEDGE:
             usual = TIGHT | {"nodes": count, "knowledge": knowledge}
             made += [(kind, Case(**usual | more)) for kind, more in KINDS.items()]
-            made += [("plain", Case(**usual, lists=lists)) for lists in LISTS[1:]]
+            made += [("plain", Case(**usual, lists=lists)) for lists in LIST_UPDATES[1:]]
     return made
 
 
@@ -215,7 +215,7 @@
 def play_all(seeds: Iterable[int], nodes: int, into: Path, say: Callable[[str], None]) -> None:
     """On loopback, one after another: each list, with probes and without. Odd seeds: uneven traffic."""
     for seed in seeds:
-        for lists in LISTS:
+        for lists in LIST_UPDATES:
             for knowledge in ("neither", "probes"):
                 case = Case(**TIGHT, nodes=nodes, lists=lists, knowledge=knowledge, uneven=seed % 2 == 1)
                 row = on_loopback("uneven" if case.uneven else "plain", case, seed)
