--- a/basalthoist/emulator/ramp.py
+++ b/basalthoist/emulator/ramp.py
@@ -26,7 +26,7 @@
     "half",
     "half_warm",
 )  # told at once; seconds late; half not at all, or as long warm
-KNOWLEDGE = ("neither", "probes", "peers")
+LOAD_KNOWLEDGE = ("neither", "probes", "peers")
 
 
 class Arrival(NamedTuple):
--- a/basalthoist/experiments/cold_start.py
+++ b/basalthoist/experiments/cold_start.py
@@ -17,7 +17,7 @@
 
 from basalthoist.addresses import address_of
 from basalthoist.emulator.events import SECOND
-from basalthoist.emulator.ramp import KNOWLEDGE, LIST_UPDATES, START_S, Arrival, Case, Worst, judge, play
+from basalthoist.emulator.ramp import LIST_UPDATES, LOAD_KNOWLEDGE, START_S, Arrival, Case, Worst, judge, play
 
 from .loopback import (
     Clients,
@@ -48,7 +48,7 @@
     """Each kind with each knowledge where all are told at once; the plain one with every list."""
     made = []
     for count in nodes:
-        for knowledge in KNOWLEDGE:
+        for knowledge in LOAD_KNOWLEDGE:
             usual = TIGHT | {"nodes": count, "knowledge": knowledge}
             made += [(kind, Case(**usual | more)) for kind, more in KINDS.items()]
             made += [("plain", Case(**usual, lists=lists)) for lists in LIST_UPDATES[1:]]
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -8,7 +8,7 @@
 from basalthoist.commands.cli import main
 from basalthoist.decisions.balancer import Balancer
 from basalthoist.emulator import ramp
-from basalthoist.emulator.ramp import KNOWLEDGE, Arrival, Case, Ramp, Worst, judge, play
+from basalthoist.emulator.ramp import LOAD_KNOWLEDGE, Arrival, Case, Ramp, Worst, judge, play
 from basalthoist.emulator.scenario import Backends
 from basalthoist.experiments import cold_start
 from basalthoist.experiments.cold_start import TIGHT, Loopback
@@ -62,7 +62,7 @@
 HARD = [(1, "once"), (5, "late"), (20, "half"), (30, "half_warm"), (30, "once")]
 
 
-@pytest.mark.parametrize("knowledge", KNOWLEDGE)
+@pytest.mark.parametrize("knowledge", LOAD_KNOWLEDGE)
 @pytest.mark.parametrize("nodes, lists", HARD)
 def test_the_ramp_holds_for_the_sum(nodes, lists, knowledge):
     case = Case(**TIGHT, nodes=nodes, knowledge=knowledge, lists=lists, burst=3.0, out=0.5)
@@ -85,7 +85,7 @@
 def test_the_table_is_made_again_from_raw_results_alone(tmp_path, monkeypatch):
     path = tmp_path / "raw.csv"
     monkeypatch.setattr(cold_start, "NODES", (2,))
-    monkeypatch.setattr(cold_start, "KNOWLEDGE", ("neither",))
+    monkeypatch.setattr(cold_start, "LOAD_KNOWLEDGE", ("neither",))
     monkeypatch.setattr(cold_start, "KINDS", {"plain": {}})
     monkeypatch.setattr(ramp, "START_S", 2.0)
     first = CliRunner().invoke(main, ["cold-start", "--seeds", "1", "--processes", "2", "--into", str(path)])
