--- a/basalthoist/configuration/node.py
+++ b/basalthoist/configuration/node.py
@@ -97,7 +97,7 @@
         keepalive_s = network.policy_limits.keepalive / MICROSECONDS or DEFAULT_KEEPALIVE_S
         self.upstream_idle_s: float = keepalive_s * document.limits.upstream_idle_part
 
-    def waits_for_restart(self, before: "Configuration") -> list[str]:
+    def keys_needing_restart(self, before: "Configuration") -> list[str]:
         """The keys that were changed in the file and that a running node can't take up."""
         keys = ("name", "listen", "admin", "seed", "limits", "settings", "peer_listen", "peers", "shadow")
         return [key for key in keys if getattr(self.document, key) != getattr(before.document, key)]
--- a/basalthoist/net/lifecycle/reload.py
+++ b/basalthoist/net/lifecycle/reload.py
@@ -56,7 +56,7 @@
 
     def apply_changes(self, read: Configuration) -> None:
         """Some keys count at once; the log names those that wait for a restart."""
-        waiting = read.waits_for_restart(self.current)
+        waiting = read.keys_needing_restart(self.current)
         self.current = read
         self.log(
             "configuration read again" + (f", at the next start: {', '.join(waiting)}" if waiting else "")
