--- a/basalthoist/configuration/fleet.py
+++ b/basalthoist/configuration/fleet.py
@@ -113,8 +113,10 @@
 def check_beats(path: str, document: FleetDocument) -> None:
     """Raises ConfigurationError unless leases and views last for enough heartbeats."""
     if document.lease_s / document.beat_s < LEAST_BEATS_A_LEASE:
-        longest_s = document.lease_s / LEAST_BEATS_A_LEASE
-        raise unexpected(path, "beat_s", f"at most a quarter of lease_s, {longest_s:g}", document.beat_s)
+        longest_timeout_s = document.lease_s / LEAST_BEATS_A_LEASE
+        raise unexpected(
+            path, "beat_s", f"at most a quarter of lease_s, {longest_timeout_s:g}", document.beat_s
+        )
     if document.fresh_s < 2 * document.beat_s:
         raise unexpected(path, "fresh_s", f"at least two beats, {2 * document.beat_s:g}", document.fresh_s)
 
--- a/basalthoist/configuration/node.py
+++ b/basalthoist/configuration/node.py
@@ -89,7 +89,7 @@
         self.network_settings: NetworkSettings = network
         self.routes: list[Route] = network.routes
         longest = max(route.overall_timeout for route in network.routes)
-        self.longest_s: float = longest / MICROSECONDS or DEFAULT_TIMEOUT_S
+        self.longest_timeout_s: float = longest / MICROSECONDS or DEFAULT_TIMEOUT_S
         self.customers: list[str] = [account.name for account in network.accounts]
         self.has_load_reports: bool = network.feedback.how != "off"
         connect_s = network.policy_limits.connect_timeout / MICROSECONDS
--- a/basalthoist/jsonrpc/front_end.py
+++ b/basalthoist/jsonrpc/front_end.py
@@ -51,7 +51,7 @@
         self.connections: dict[JsonRpcClientConnection, None] = {}
         self.notifications: int = 0
         self.listener: Listener | None = None
-        self.longest_timeout: int = int(configuration.longest_s * SECOND)  # deadline of any route
+        self.longest_timeout: int = int(configuration.longest_timeout_s * SECOND)  # deadline of any route
         self.shutdown: Shutdown = Shutdown(self)
         self.drained: asyncio.Future = self.shutdown.drained
         self.check_drained: Callable[[], None] = self.shutdown.check_drained
--- a/basalthoist/net/clients/front_end.py
+++ b/basalthoist/net/clients/front_end.py
@@ -73,7 +73,7 @@
         self.listener: Listener | None = None
         # Whether another process may accept connections from the same listening socket.
         self.listener_shared: Callable[[], bool] = lambda: False
-        self.longest_timeout: int = int(configuration.longest_s * SECOND)  # of all routes
+        self.longest_timeout: int = int(configuration.longest_timeout_s * SECOND)  # of all routes
         self.ready: bool = False
         # While draining, idle connections are closed, and each response closes its own unless more has come.
         self.draining: bool = False
