--- a/basalthoist/experiments/cluster/launcher.py
+++ b/basalthoist/experiments/cluster/launcher.py
@@ -113,9 +113,9 @@
         if disk.lie:
             disk.wrap()
     Clocks(lies.get("rate", 1.0), lies.get("wall_s", 0.0)).wrap()
-    from basalthoist.start import serve_by
+    from basalthoist.start import run_node
 
-    return serve_by()
+    return run_node()
 
 
 if __name__ == "__main__":
--- a/basalthoist/start.py
+++ b/basalthoist/start.py
@@ -38,7 +38,7 @@
     distribution: "DistributionDocument | None"
 
 
-def serve_by(log_format: LogFormat | None = None) -> int:
+def run_node(log_format: LogFormat | None = None) -> int:
     """Serves by the file that PROXY_CONFIG names, until a signal ends it; returns the exit code."""
     # Guards against a SIGHUP before there is a node, which would end the process, or be missed once the file
     # has been read. Ahead of the imports, which take longest.
