--- a/basalthoist/__main__.py
+++ b/basalthoist/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m basalthoist`: a node, or with a command the command line."""
+"""`python -m basalthoist`: serves as a node without arguments, runs a command line tool with them."""
 
 import os
 import sys
@@ -6,8 +6,9 @@
 EXIT_NO_TOOLS = 2
 
 
-def find_libraries() -> None:
-    """Adds the environment's libraries to the path, which `-S` leaves out to spare the start a search."""
+def add_site_packages() -> None:
+    """Adds the environment's site-packages to `sys.path`. Nodes start with `-S`, which skips the import of
+    `site` to save start time."""
     if "site" not in sys.modules:
         environment = os.path.dirname(os.path.dirname(sys.executable))
         version = f"python{sys.version_info.major}.{sys.version_info.minor}"
@@ -15,16 +16,16 @@
 
 
 def main() -> int:
-    """Runs the node or the command; returns the exit code."""
-    find_libraries()
+    """Runs the node or the command and returns the exit code."""
+    add_site_packages()
     if len(sys.argv) < 2:
         from .start import serve_by
 
         return serve_by()
     try:
         from .commands.cli import main as run_command
-    except ImportError as wrong:
-        print(f"basalthoist: commands need requirements-tools.txt: {wrong}", file=sys.stderr)
+    except ImportError as error:
+        print(f"basalthoist: commands need requirements-tools.txt: {error}", file=sys.stderr)
         return EXIT_NO_TOOLS
     return run_command(prog_name="python -m basalthoist")
 
--- a/basalthoist/configuration/__init__.py
+++ b/basalthoist/configuration/__init__.py
@@ -1,6 +1,7 @@
-"""Everything that a node is given at its start: read, checked and given defaults here and nowhere else.
+"""Reads and validates all configuration files of a node and supplies their defaults.
 
-The public names of its modules stand here as well; a module is loaded when one of its names is asked for."""
+The public names of the submodules can be imported from this package. A submodule is loaded on first access to
+one of its names."""
 
 from importlib import import_module
 
@@ -23,9 +24,9 @@
 
 
 def __getattr__(name: str) -> object:
-    """A public name of one of the modules; raises AttributeError for any other."""
+    """Imports the submodule that defines `name` and returns the object. Raises AttributeError otherwise."""
     if name not in MODULES:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
-    found = getattr(import_module(f"{__name__}.{MODULES[name]}"), name)
-    globals()[name] = found
-    return found
+    value = getattr(import_module(f"{__name__}.{MODULES[name]}"), name)
+    globals()[name] = value
+    return value
--- a/basalthoist/configuration/distribution.py
+++ b/basalthoist/configuration/distribution.py
@@ -1,4 +1,4 @@
-"""The file of distribution in versions, which PROXY_DISTRIBUTION or `relay FILE` names."""
+"""The configuration file for versioned distribution, named by PROXY_DISTRIBUTION or `relay FILE`."""
 
 from typing import TYPE_CHECKING, Annotated, Literal, NoReturn
 
@@ -12,48 +12,49 @@
 
 
 class Voter(msgspec.Struct, forbid_unknown_fields=True):
-    """A machine that votes on who is author: its address for connections and that for the register."""
+    """A machine that votes in the election of the leader ("author" in log lines and answers): its address for
+    connections and its address for the register."""
 
     address: str
     register: str
 
 
 class DistributionDocument(msgspec.Struct, forbid_unknown_fields=True):
-    """The file that PROXY_DISTRIBUTION or `relay FILE` names. Times in seconds.
-
-    docs/distribution.md."""
+    """The file that PROXY_DISTRIBUTION or `relay FILE` names. Times in seconds. See docs/distribution.md."""
 
     fleet: Annotated[str, msgspec.Meta(pattern="^[A-Za-z0-9-]+$")]
     role: Literal["node", "relay"] = "node"
     region: str = ""
-    seeds: list[str] = []  # of a node: addresses of relays to begin with
-    scopes: list[Annotated[str, msgspec.Meta(min_length=1)]] = []  # of a node: the services it fronts
-    name: str = ""  # of a relay
-    listen: str = ""  # of a relay: where nodes and other relays come
-    admin: str = ""  # of a relay: the operators' door
-    voters: dict[str, Voter] = {}  # for a relay; one that stands among them votes, and may be author
-    touch_s: Seconds = 1.0  # between two touches, by which a view stays fresh
-    fresh_s: Seconds = 2.5  # a relay whose view stays older is left
-    stale_s: Seconds = 4.0  # at this age at the latest a node knows that its view is stale
+    seeds: list[str] = []  # nodes only: addresses of the relays to connect to first
+    scopes: list[Annotated[str, msgspec.Meta(min_length=1)]] = []  # nodes only: the services they front
+    name: str = ""  # relays only
+    listen: str = ""  # relays only: the address for connections of nodes and other relays
+    admin: str = ""  # relays only: the address of the admin interface
+    voters: dict[str, Voter] = {}  # relays only; a relay listed here votes and may be elected leader
+    touch_s: Seconds = 1.0  # interval of the heartbeats that confirm a view as fresh
+    fresh_s: Seconds = 2.5  # a node leaves a relay whose view stays older than this
+    stale_s: Seconds = 4.0  # the age by which a node has noticed that its view is stale
     when_stale: Literal["stand_by", "serve"] = "stand_by"
-    silent_s: Seconds = 2.0  # a connection on which nothing comes for as long is left
-    idle_s: Seconds = 300.0  # a tenant to which nothing came for as long goes again
-    drift: Annotated[float, msgspec.Meta(ge=0, le=0.1)] = 0.001  # how far a clock's rate may be off
-    answer_s: Seconds = 6.0  # how long an operator's call is tried
-    batch_s: Seconds = 0.1  # between two changes; what comes meanwhile goes together
-    wait_most_s: Seconds = 1.5  # before another relay is tried, at most
-    sessions_per_s: Count = 200  # new ones that a relay takes
-    snapshot_bytes_per_s: Count = 16 * 1024 * 1024  # that a relay sends
-    waiting_bytes: Count = 1024 * 1024  # unsent to a session, beyond a snapshot, before it is ended
-    history_bytes: Count = 8 * 1024 * 1024  # of changes, for those that are behind
-    keep_s: Seconds = 30.0  # between two writings of a relay's file, and 1 s at a node
-    tenants: Count = 2_000  # held at a node
-    usual_quota: Annotated[float, msgspec.Meta(ge=0, le=1e9)] = 10.0  # until a tenant's is known
-    lease_s: Seconds = 2.0  # of the register, as in the fleet's file
-    beat_s: Seconds = 0.2
+    silent_s: Seconds = 2.0  # a connection that receives nothing for this long is abandoned
+    idle_s: Seconds = 300.0  # a node drops a tenant's entry after this long without its requests
+    drift: Annotated[float, msgspec.Meta(ge=0, le=0.1)] = 0.001  # maximum relative error of a clock's rate
+    answer_s: Seconds = 6.0  # timeout of an operator's call, retries included
+    batch_s: Seconds = 0.1  # interval between two changes; calls that arrive meanwhile are batched
+    wait_most_s: Seconds = 1.5  # maximum wait before the next relay is tried
+    sessions_per_s: Count = 200  # rate at which a relay accepts new sessions
+    snapshot_bytes_per_s: Count = 16 * 1024 * 1024  # rate at which a relay sends snapshots
+    waiting_bytes: Count = 1024 * 1024  # unsent bytes, snapshots aside, at which a session is ended
+    history_bytes: Count = 8 * 1024 * 1024  # changes retained for subscribers that are behind
+    keep_s: Seconds = 30.0  # interval at which a relay writes its file; a node writes its own every 1 s
+    tenants: Count = 2_000  # maximum number of tenants whose entries a node stores
+    usual_quota: Annotated[float, msgspec.Meta(ge=0, le=1e9)] = (
+        10.0  # applies until a tenant's quota is known
+    )
+    lease_s: Seconds = 2.0  # lease of the register, as in the fleet's file
+    beat_s: Seconds = 0.2  # heartbeat interval of the register, as in the fleet's file
 
     def bounds(self) -> "Bounds":
-        """The same for the machines of distribution, its times in tenths of a millisecond."""
+        """Returns the bounds for the distribution protocol, with times in tenths of a millisecond."""
         from basalthoist.distribution.bounds import Bounds
 
         def tenths(seconds: float) -> int:
@@ -78,14 +79,14 @@
         )
 
     def register(self) -> FleetDocument:
-        """The register that the voters keep: its set is the head of the catalogue."""
+        """Returns the configuration of the voters' register, which stores the head of the catalogue."""
         nodes = {name: voter.register for name, voter in self.voters.items()}
         times = {"lease_s": self.lease_s, "beat_s": self.beat_s, "drift": self.drift}
         return FleetDocument(self.fleet, nodes, sorted(nodes), **times)
 
 
 def checked_distribution(path: str, document: DistributionDocument, role: str) -> DistributionDocument:
-    """The document of a `role`, "node" or "relay".
+    """Validates the document for `role`, "node" or "relay", and returns it.
 
     Raises ConfigurationError, naming the file at `path` and the first faulty key."""
     if document.role != role:
@@ -106,7 +107,7 @@
 
 
 def check_relay(path: str, document: DistributionDocument) -> None:
-    """Raises ConfigurationError for the first faulty key that only a relay's file has."""
+    """Raises ConfigurationError for the first faulty key among those that only a relay's file has."""
     if not document.name:
         refuse(path, "name", "this relay's name", "none")
     address(f"{path}: listen", document.listen)
@@ -123,19 +124,19 @@
 
 
 def check_voters(path: str, voters: dict[str, Voter]) -> None:
-    """Raises ConfigurationError for a wrong address, and one that stands twice."""
-    taken: dict[tuple[str, Address], str] = {}
+    """Raises ConfigurationError if a voter's address is invalid or belongs to another voter as well."""
+    owner_of: dict[tuple[str, Address], str] = {}
     for name, voter in voters.items():
         for key in ("address", "register"):
             place = key, address(f"{path}: voters.{name}.{key}", getattr(voter, key))
-            # Guards against two voters that would answer for one another.
-            if place in taken:
-                refuse(path, f"voters.{name}.{key}", "an address of its own", f"that of {taken[place]}")
-            taken[place] = name
+            # Guards against two voters that receive each other's messages.
+            if place in owner_of:
+                refuse(path, f"voters.{name}.{key}", "an address of its own", f"that of {owner_of[place]}")
+            owner_of[place] = name
 
 
 def check_times(path: str, document: DistributionDocument) -> None:
-    """Raises ConfigurationError for times that do not leave room for one another."""
+    """Raises ConfigurationError if a timeout is too short for the heartbeat interval or `fresh_s`."""
     if document.fresh_s < 2 * document.touch_s:
         refuse(path, "fresh_s", f"at least two touches, {2 * document.touch_s:g}", document.fresh_s)
     if document.stale_s < document.fresh_s:
--- a/basalthoist/configuration/gateway.py
+++ b/basalthoist/configuration/gateway.py
@@ -1,4 +1,4 @@
-"""The file of the gateway to other sites, which PROXY_GATEWAY names."""
+"""The configuration file of the gateway to other sites, named by PROXY_GATEWAY."""
 
 from typing import Annotated
 
@@ -10,34 +10,36 @@
 
 
 class Site(msgspec.Struct, forbid_unknown_fields=True):
-    """Another site: the addresses of its nodes that clients there use, as they are reached from here."""
+    """Another site, with the client-facing addresses of its nodes as reachable from this site."""
 
     name: Annotated[str, msgspec.Meta(pattern="^[A-Za-z0-9-]+$")]
     gateways: Annotated[list[str], msgspec.Meta(min_length=1)]
 
     def named(self) -> list[tuple[str, Address]]:
-        """Each gateway's name, "site/number", with its address; raises ValueError for a faulty one."""
+        """Returns each gateway's name, "site/number", and address. Raises ValueError for invalid ones."""
         return [(f"{self.name}/{number}", address_of(text)) for number, text in enumerate(self.gateways)]
 
 
 class GatewayDocument(msgspec.Struct, forbid_unknown_fields=True):
-    """The file that PROXY_GATEWAY names. Times in seconds. docs/gateway.md."""
+    """The file that PROXY_GATEWAY names. Times in seconds. See docs/gateway.md."""
 
     site: Annotated[str, msgspec.Meta(pattern="^[A-Za-z0-9-]+$")]
     sites: Annotated[list[Site], msgspec.Meta(min_length=1)]
-    beat_s: Seconds = 0.5  # between questions to another site's gateways
-    silent_s: Seconds = 2.0  # a gateway that has not answered for as long is not used
-    steady_s: Seconds = 2.0  # one that came back answers for as long before it is used
-    offer_under: Share = 0.7  # usable part of the site's backends under which spill is offered
-    enough_from: Share = 0.9  # and from which it ends
-    shed_over: Share = 0.02  # part of the demand that is shed for spill to be offered at all
-    calm_s: Seconds = 3.0  # without cause before spill ends
-    help_part: Share = 0.25  # of what the site's backends can hold, given to others at most
-    most_lanes: Count = 32  # that another site counts as at the most
+    beat_s: Seconds = 0.5  # interval of the heartbeats to other sites' gateways
+    silent_s: Seconds = 2.0  # A gateway that has not answered for this long is not used.
+    steady_s: Seconds = 2.0  # how long a gateway that came back must answer before it is used again
+    offer_under: Share = 0.7  # Spill is offered below this share of usable backends at this site.
+    enough_from: Share = 0.9  # Spill ends at this share of usable backends or above.
+    shed_over: Share = 0.02  # share of the demand that is shed above which spill is offered
+    calm_s: Seconds = 3.0  # time without a cause before spill ends
+    help_part: Share = 0.25  # maximum share of the backends' capacity for requests of other sites
+    most_lanes: Count = 32  # maximum number of links to another site
 
 
 def checked_gateway(path: str, document: GatewayDocument) -> GatewayDocument:
-    """The document; raises ConfigurationError, naming the file at `path` and the first faulty key."""
+    """Validates and returns the document.
+
+    Raises ConfigurationError, naming the file at `path` and the first faulty key."""
     names = [document.site, *(site.name for site in document.sites)]
     if len(names) > len(set(names)):
         raise ConfigurationError(f"{path}: sites: a name stands twice among {', '.join(names)}")
--- a/basalthoist/configuration/jsonrpc.py
+++ b/basalthoist/configuration/jsonrpc.py
@@ -1,4 +1,4 @@
-"""The file of the JSON-RPC front, which PROXY_JSONRPC names."""
+"""The configuration file of the JSON-RPC front end, named by PROXY_JSONRPC."""
 
 from typing import TYPE_CHECKING, Annotated
 
@@ -13,22 +13,24 @@
 
 
 class JsonRpcDocument(msgspec.Struct, forbid_unknown_fields=True):
-    """The file that PROXY_JSONRPC names: then this node's backends speak JSON-RPC as well."""
+    """The file that PROXY_JSONRPC names; with it the node speaks JSON-RPC to its backends as well."""
 
     listen: str
-    methods: Annotated[dict[str, str], msgspec.Meta(min_length=1)]  # each method's route
-    customer: str = ""  # whose calls these are; the settings' first where empty
-    load_method: str = "rpc.load"  # asked as a probe, where the settings allow any
-    most_open: Count = 128  # calls under way on a connection; no more is read meanwhile
-    most_batch: Count = 64
+    methods: Annotated[dict[str, str], msgspec.Meta(min_length=1)]  # route of each method
+    customer: str = ""  # the tenant of all calls; if empty, the first of `settings.accounts`
+    load_method: str = "rpc.load"  # method called as health check, if the settings allow them
+    most_open: Count = 128  # Reading pauses at this many calls in progress on a connection.
+    most_batch: Count = 64  # maximum number of calls in a batch
 
     def address(self) -> Address:
-        """Where the front listens; raises ValueError where `listen` names no host and port."""
+        """Returns the address to listen on. Raises ValueError if `listen` is not "host:port"."""
         return address_of(self.listen)
 
 
 def checked_jsonrpc(path: str, document: JsonRpcDocument, configuration: "Configuration") -> JsonRpcDocument:
-    """The document; raises ConfigurationError, naming the file at `path` and the first faulty key."""
+    """Validates and returns the document.
+
+    Raises ConfigurationError, naming the file at `path` and the first faulty key."""
     routes = [route.name for route in configuration.routes]
     address(f"{path}: listen", document.listen)
     for method, route in document.methods.items():
--- a/basalthoist/configuration/network_settings.py
+++ b/basalthoist/configuration/network_settings.py
@@ -1,4 +1,4 @@
-"""The part of a node's settings that its network side reads; all of them are read by the decisions."""
+"""The part of a node's settings that its network code reads. The decision code reads all of them."""
 
 from typing import Annotated
 
@@ -6,7 +6,7 @@
 
 
 class Route(msgspec.Struct):
-    """A route; `overall_timeout`, the time for all of a request, in microseconds, 0 where none is given."""
+    """A route. `overall_timeout` covers a request with all its attempts, in microseconds; 0: not set."""
 
     name: str
     overall_timeout: Annotated[int, msgspec.Meta(ge=0)] = 0
@@ -14,19 +14,20 @@
 
 
 class Account(msgspec.Struct):
-    """A tenant, by the name under which its requests come."""
+    """A tenant, identified by the name that its requests carry."""
 
     name: str
 
 
 class Feedback(msgspec.Struct):
-    """How backends report their load; "off": they don't."""
+    """How backends report their load; "off": they do not."""
 
     how: str = "off"
 
 
 class PolicyLimits(msgspec.Struct):
-    """Times in microseconds, 0 for the default; whether health checks and gossip are allowed."""
+    """Connection timeouts in microseconds, 0 for the default, and whether health checks (`probes`) and gossip
+    (`peers`) are allowed."""
 
     connect_timeout: Annotated[int, msgspec.Meta(ge=0)] = 0
     keepalive: Annotated[int, msgspec.Meta(ge=0)] = 0
@@ -35,7 +36,7 @@
 
 
 class NetworkSettings(msgspec.Struct):
-    """Those of the settings that the network side needs itself, as the file has them, in microseconds."""
+    """The settings that the network code needs, with the file's keys and units. Times in microseconds."""
 
     routes: Annotated[list[Route], msgspec.Meta(min_length=1)]
     siblings: Annotated[int, msgspec.Meta(ge=0)] = 1
--- a/basalthoist/configuration/node.py
+++ b/basalthoist/configuration/node.py
@@ -1,4 +1,4 @@
-"""The file of a node, which PROXY_CONFIG names: its types, and what a node goes by once it is checked."""
+"""The configuration file of a node, named by PROXY_CONFIG: its types, its checks and the result."""
 
 import os
 import resource
@@ -13,23 +13,25 @@
 from .network_settings import NetworkSettings, Route
 from .reading import Address, ConfigurationError, Positive, address
 
-LONGEST_SILENCE_PART = 0.75  # of the time within which a change is known
+MAX_SILENCE_PART = 0.75  # maximum of watch_silent_s, as a part of watch_told_s
 UNLIMITED_DESCRIPTORS = 1 << 20
-MICROSECONDS = 1e6  # a second
+MICROSECONDS_PER_SECOND = 1e6
 DEFAULT_KEEPALIVE_S = 10.0
 DEFAULT_TIMEOUT_S = 1.0
-LEAST_RESERVE = 28  # descriptors: a process without any connection has about 18 open
+MIN_RESERVE = 28  # descriptors; a process without connections has about 18 open
 
 
 class ShadowDocument(msgspec.Struct, forbid_unknown_fields=True):
-    """Settings to be watched before they are taken up: those that differ, laid over `settings`."""
+    """Settings on trial, whose decisions are counted but not carried out.
+
+    `settings` has only the keys that differ from the node's own."""
 
     settings: dict
-    report_s: Positive = 60.0  # between two log lines with the counts
+    report_s: Positive = 60.0  # interval of the log lines with the counts
 
 
 class Document(msgspec.Struct):
-    """The file that PROXY_CONFIG names; `settings` is for the decisions, addresses are "host:port"."""
+    """The file that PROXY_CONFIG names. `settings` is for the decision code; addresses are "host:port"."""
 
     settings: dict
     seed: str
@@ -45,9 +47,10 @@
 
 
 class Configuration:
-    """What a node goes by: its name, addresses, limits and saved list, and `settings` for the decisions.
+    """The validated configuration of a node.
 
-    Attributes that end in `_s` are seconds; an address is a host and a port."""
+    Attributes that end in `_s` are in seconds. An address is a host and a port. `settings` is for the
+    decision code, `known` is the endpoint list in use until discovery answers."""
 
     def __init__(
         self,
@@ -58,7 +61,8 @@
         open_files: int,
         before: "Configuration | None",
     ) -> None:
-        """`open_files`: descriptors that the machine allows; `before`: what a running node goes by.
+        """`open_files`: descriptors that the machine allows; `before`: the current configuration of a running
+        node.
 
         Raises ConfigurationError, naming the first faulty key."""
         self.document: Document = document
@@ -67,7 +71,7 @@
         self.listen: Address = address("listen (PROXY_LISTEN)", listen)
         admin = environment.get("PROXY_ADMIN") or document.admin
         self.admin: Address | None = address("admin (PROXY_ADMIN)", admin) if admin else None
-        # What outlives this process: other processes of the same node find it there.
+        # The folder for files that outlive the process and are read by its successors.
         self.folder: str = environment.get("TMPDIR", "") if admin else ""
         self.discovery: Address = discovery_of(document, environment, before)
         self.seed: int = seed_of(document)
@@ -89,16 +93,16 @@
         self.network_settings: NetworkSettings = network
         self.routes: list[Route] = network.routes
         longest = max(route.overall_timeout for route in network.routes)
-        self.longest_s: float = longest / MICROSECONDS or DEFAULT_TIMEOUT_S
+        self.longest_s: float = longest / MICROSECONDS_PER_SECOND or DEFAULT_TIMEOUT_S
         self.customers: list[str] = [account.name for account in network.accounts]
         self.has_load_reports: bool = network.feedback.how != "off"
-        connect_s = network.policy_limits.connect_timeout / MICROSECONDS
+        connect_s = network.policy_limits.connect_timeout / MICROSECONDS_PER_SECOND
         self.connect_timeout_s: float = connect_s or document.limits.connect_s
-        keepalive_s = network.policy_limits.keepalive / MICROSECONDS or DEFAULT_KEEPALIVE_S
+        keepalive_s = network.policy_limits.keepalive / MICROSECONDS_PER_SECOND or DEFAULT_KEEPALIVE_S
         self.upstream_idle_s: float = keepalive_s * document.limits.upstream_idle_part
 
     def waits_for_restart(self, before: "Configuration") -> list[str]:
-        """The keys that were changed in the file and that a running node can't take up."""
+        """Returns the keys whose values changed in the file and take effect only after a restart."""
         keys = ("name", "listen", "admin", "seed", "limits", "settings", "peer_listen", "peers", "shadow")
         return [key for key in keys if getattr(self.document, key) != getattr(before.document, key)]
 
@@ -106,19 +110,21 @@
 def discovery_of(
     document: Document, environment: Mapping[str, str], before: "Configuration | None"
 ) -> Address:
-    """Where discovery is; a running node stays with `before` until the file says otherwise."""
+    """Returns the address of discovery. A running node keeps its own unless the file changed it."""
     if before is None:
         return address(
             "discovery (PROXY_DISCOVERY)", environment.get("PROXY_DISCOVERY") or document.discovery
         )
     if document.discovery == before.document.discovery:
         return before.discovery
-    # Guards against a move that the environment hides: nobody can change that of a running process.
+    # Ignores PROXY_DISCOVERY, which nobody can change in a running process: it would hide the move.
     return address("discovery", document.discovery)
 
 
 def slot_cycle_of(document: Document, network: NetworkSettings) -> float:
-    """Seconds in which discovery serves the whole tier one by one; 0 where polls do not weigh on it."""
+    """Returns the seconds that discovery needs to answer a poll of every node, one after another.
+
+    Returns 0 if discovery is not polled."""
     if network.discovery != "on_request":
         return 0.0
     lines = network.siblings * len(document.known.endpoints)
@@ -126,7 +132,7 @@
 
 
 def seed_of(document: Document) -> int:
-    """The seed as a number; raises ConfigurationError where it isn't hex."""
+    """Returns the seed as a number. Raises ConfigurationError if it is not hexadecimal."""
     try:
         return int(document.seed, 16)
     except ValueError:
@@ -134,16 +140,16 @@
 
 
 def limits_within(limits: Limits, open_files: int) -> Limits:
-    """The limits with `sockets` and `reserve`, in descriptors, held to the `open_files` that are allowed.
-
-    Raises ConfigurationError where `watch_silent_s` doesn't fit `watch_told_s`."""
-    # Guards against silence that is found too late for what it missed to be known in time.
-    most = LONGEST_SILENCE_PART * limits.watch_told_s
-    if limits.watch_silent_s > most:
-        raise ConfigurationError(f"limits.watch_silent_s: at most {most:g}, by watch_told_s")
-    # Guards against a machine that allows fewer descriptors than the file says.
+    """Returns the limits with `sockets` and `reserve`, in descriptors, reduced to fit `open_files`.
+
+    Raises ConfigurationError if `watch_silent_s` is too long for `watch_told_s`."""
+    # Guards against a silent watch that is detected after the changes that it missed count as known.
+    max_silence_s = MAX_SILENCE_PART * limits.watch_told_s
+    if limits.watch_silent_s > max_silence_s:
+        raise ConfigurationError(f"limits.watch_silent_s: at most {max_silence_s:g}, by watch_told_s")
+    # The machine may allow fewer descriptors than the file says.
     sockets = min(limits.sockets, open_files)
-    reserve = min(limits.reserve, max(sockets // 3, LEAST_RESERVE))
+    reserve = min(limits.reserve, max(sockets // 3, MIN_RESERVE))
     return msgspec.structs.replace(limits, sockets=sockets, reserve=reserve)
 
 
@@ -154,7 +160,7 @@
     before: Configuration | None = None,
     form: str = "JSON",
 ) -> Configuration:
-    """The file's bytes, in `form` JSON or TOML, checked; `open_files` in descriptors.
+    """Decodes and validates a file in `form`, "JSON" or "TOML". `open_files`: descriptors that are allowed.
 
     Raises ConfigurationError, naming the faulty key."""
     try:
@@ -178,9 +184,9 @@
 
 
 def load(environment: Mapping[str, str] = os.environ, before: Configuration | None = None) -> Configuration:
-    """The file that PROXY_CONFIG names; `before`: what a running node goes by, where it is read again.
+    """Loads the file that PROXY_CONFIG names. `before`: the current configuration, if a running node reloads.
 
-    Raises ConfigurationError where there is no such file or a key in it is faulty."""
+    Raises ConfigurationError if the file cannot be read or a key in it is faulty."""
     path = environment.get("PROXY_CONFIG")
     if not path:
         raise ConfigurationError("PROXY_CONFIG: not set; it names the JSON file with the settings")
--- a/basalthoist/configuration/optional_files.py
+++ b/basalthoist/configuration/optional_files.py
@@ -1,6 +1,6 @@
-"""The files that a node may be given besides its own, each named by a variable of the environment.
+"""Loads the optional configuration files of a node, each named by an environment variable.
 
-The module that checks a file is loaded only where the file is read.
+The module that validates a file is imported only if the variable is set.
 """
 
 import os
@@ -18,7 +18,7 @@
 
 
 def load_gateway(environment: Mapping[str, str] = os.environ) -> "GatewayDocument | None":
-    """The file that PROXY_GATEWAY names, if any; raises ConfigurationError, naming the faulty key."""
+    """Loads the file that PROXY_GATEWAY names, if any. Raises ConfigurationError, naming the faulty key."""
     if not environment.get("PROXY_GATEWAY"):
         return None
     from .gateway import GatewayDocument, checked_gateway
@@ -30,7 +30,7 @@
 def load_jsonrpc(
     configuration: "Configuration", environment: Mapping[str, str] = os.environ
 ) -> "JsonRpcDocument | None":
-    """The file that PROXY_JSONRPC names, if any; raises ConfigurationError, naming the faulty key."""
+    """Loads the file that PROXY_JSONRPC names, if any. Raises ConfigurationError, naming the faulty key."""
     if not environment.get("PROXY_JSONRPC"):
         return None
     from .jsonrpc import JsonRpcDocument, checked_jsonrpc
@@ -42,7 +42,7 @@
 def load_fleet(
     configuration: "Configuration", environment: Mapping[str, str] = os.environ
 ) -> "FleetDocument | None":
-    """The file that PROXY_FLEET names, if any; raises ConfigurationError, naming the faulty key."""
+    """Loads the file that PROXY_FLEET names, if any. Raises ConfigurationError, naming the faulty key."""
     if not environment.get("PROXY_FLEET"):
         return None
     from .fleet import FleetDocument, checked_fleet
@@ -52,7 +52,7 @@
 
 
 def load_distribution(environment: Mapping[str, str] = os.environ) -> "DistributionDocument | None":
-    """The file that PROXY_DISTRIBUTION names, if any, of a node.
+    """Loads a node's file that PROXY_DISTRIBUTION names, if any.
 
     Raises ConfigurationError, naming the faulty key."""
     if not environment.get("PROXY_DISTRIBUTION"):
@@ -64,7 +64,7 @@
 
 
 def load_relay(path: str) -> "DistributionDocument":
-    """A relay's file at `path`; raises ConfigurationError, naming the faulty key."""
+    """Loads a relay's file at `path`. Raises ConfigurationError, naming the faulty key."""
     from .distribution import DistributionDocument, checked_distribution
 
     document = read_toml("FILE", DistributionDocument, {"FILE": path})
--- a/basalthoist/configuration/reading.py
+++ b/basalthoist/configuration/reading.py
@@ -1,4 +1,4 @@
-"""What the documents share: reading a file, an address, the error."""
+"""Helpers for all configuration files: TOML reading, addresses, units, and the error type."""
 
 from collections.abc import Mapping
 from typing import Annotated, TypeVar
@@ -14,25 +14,25 @@
 Share = Annotated[float, msgspec.Meta(gt=0, le=1)]
 Address = tuple[str, int]
 
-TENTHS_PER_SECOND = 10_000  # the program counts time in tenths of a millisecond
+TENTHS_PER_SECOND = 10_000  # Internal times are in tenths of a millisecond.
 
 
 class ConfigurationError(Exception):
-    """What is wrong, with the name of the faulty key."""
+    """A configuration is invalid. The message names the faulty key."""
 
 
 def unexpected(path: str, key: str, expected: str, got: object) -> ConfigurationError:
-    """The error for a key of the file at `path` that has another value than is expected."""
+    """Returns the error for a key of the file at `path` whose value is not the expected one."""
     return ConfigurationError(f"{path}: {key}: expected {expected}, got {got}")
 
 
 def tenths_of(seconds: float) -> int:
-    """Seconds as whole tenths of a millisecond."""
+    """Converts seconds to tenths of a millisecond, rounded down."""
     return int(seconds * TENTHS_PER_SECOND)
 
 
 def address(key: str, text: str) -> Address:
-    """The host and port that `text` names; raises ConfigurationError, naming `key`."""
+    """Parses "host:port". Raises ConfigurationError, naming `key`."""
     try:
         return address_of(text)
     except ValueError as error:
@@ -40,9 +40,9 @@
 
 
 def read_toml(variable: str, kind: type[Document], environment: Mapping[str, str]) -> Document | None:
-    """The file that a variable names, or None where it names none: then there is no such part.
+    """Decodes the TOML file that an environment variable names; returns None if the variable is not set.
 
-    Raises ConfigurationError where it can't be read, isn't TOML or doesn't fit `kind`."""
+    Raises ConfigurationError if the file cannot be read, is not TOML or does not fit `kind`."""
     path = environment.get(variable)
     if not path:
         return None
--- a/basalthoist/configuration/shadow.py
+++ b/basalthoist/configuration/shadow.py
@@ -1,4 +1,7 @@
-"""Settings of a shadow, which a node follows without acting on them: merged into its own and checked."""
+"""Merges the settings of a shadow balancer into the node's own and validates them.
+
+A shadow balancer makes decisions that are counted but not carried out.
+"""
 
 import msgspec
 
@@ -9,15 +12,16 @@
 
 
 def merged_settings(base: dict, changes: dict) -> dict:
-    """A new tree: `changes` go before `base`, key by key; lists are replaced whole."""
-    both = [key for key in changes if isinstance(base.get(key), dict) and isinstance(changes[key], dict)]
-    return base | changes | {key: merged_settings(base[key], changes[key]) for key in both}
+    """Returns a copy of `base` with `changes` merged in recursively. Lists are replaced, not merged."""
+    nested = [key for key in changes if isinstance(base.get(key), dict) and isinstance(changes[key], dict)]
+    return base | changes | {key: merged_settings(base[key], changes[key]) for key in nested}
 
 
 def shadow_of(settings: dict, differing: dict) -> dict:
-    """The shadow's settings in the form of the decisions: the same routes and tenants in both.
+    """Returns the shadow's settings, flattened for the decision code. `differing`: the keys that differ.
 
-    Raises ConfigurationError, naming the faulty key."""
+    Raises ConfigurationError, naming the faulty key, also if routes or tenants are not the same as in
+    `settings`."""
     merged = merged_settings(settings, differing)
     try:
         msgspec.convert(merged, NetworkSettings)
--- a/basalthoist/configuration/strict_entries.py
+++ b/basalthoist/configuration/strict_entries.py
@@ -1,4 +1,4 @@
-"""The catalogue's entries, checked as the same things are in a node's file."""
+"""Checks catalogue entries by the same rules as the corresponding tables of a node's file."""
 
 from collections.abc import Iterable
 from typing import Annotated, Literal
@@ -13,27 +13,27 @@
 from .fleet import LimitDocument
 from .network_settings import Route
 
-MAX_ENTRIES = 4096  # in one call
-MAX_NAME = 200  # characters
+MAX_ENTRIES_PER_CALL = 4096
+MAX_NAME_CHARACTERS = 200
 Quota = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
-OWN_KEYS = {"route": "name", "limit": "customer"}  # which key of a file's table holds the entry's name
+NAME_KEYS = {"route": "name", "limit": "customer"}  # the key of a file's table that is the entry's name
 
 
 class TenantBody(msgspec.Struct, forbid_unknown_fields=True):
-    """A tenant's quota, and whose tenant it is."""
+    """A tenant's quota, and the service that the tenant belongs to."""
 
-    quota_per_s: Quota = 0.0  # requests over the fleet
-    service: str = ""  # empty: everybody's
+    quota_per_s: Quota = 0.0  # requests per second over the whole fleet
+    service: str = ""  # empty: a tenant of all services
 
 
 class BackendsBody(msgspec.Struct, forbid_unknown_fields=True):
-    """The backends of a service, as in an endpoint list."""
+    """The backends of a service, in the form of an endpoint list."""
 
     members: list[ListedEndpoint]
 
 
 class VerdictBody(msgspec.Struct, forbid_unknown_fields=True):
-    """What the fleet's register says of a backend or a customer."""
+    """A verdict of the fleet's register on a backend or a tenant."""
 
     verdict: Literal["ban", "sick", "customer", "quota"]
     figure: Quota = 0.0
@@ -53,24 +53,24 @@
 
 
 def check_body(entry: Entry) -> None:
-    """Raises EntryError, naming a key of the body."""
-    body, own_key = entry.body, OWN_KEYS.get(entry.kind)
-    if own_key is not None:
-        if own_key in body and body[own_key] != entry.name:
-            raise EntryError(f"{own_key}: expected {entry.name!r}, got {body[own_key]!r}")
-        body = body | {own_key: entry.name}
+    """Validates the body of an entry. Raises EntryError, naming the faulty key."""
+    body, name_key = entry.body, NAME_KEYS.get(entry.kind)
+    if name_key is not None:
+        if name_key in body and body[name_key] != entry.name:
+            raise EntryError(f"{name_key}: expected {entry.name!r}, got {body[name_key]!r}")
+        body = body | {name_key: entry.name}
     try:
         converted = msgspec.convert(body, BODIES[entry.kind])
         flatten(body)
         check_addresses(entry.kind, converted)
     except msgspec.ValidationError as error:
-        raise EntryError(by_key(error)) from None
+        raise EntryError(text_with_key(error)) from None
     except (TypeError, ValueError) as error:
         raise EntryError(str(error)) from None
 
 
-def by_key(error: msgspec.ValidationError) -> str:
-    """The error's text behind the name of the key that it is of."""
+def text_with_key(error: msgspec.ValidationError) -> str:
+    """Returns the error's text, prefixed with the name of the faulty key if there is one."""
     text, _, place = str(error).partition(" - at `$")
     text = text[:1].lower() + text[1:]
     key = place.rstrip("`").lstrip(".")
@@ -78,17 +78,17 @@
 
 
 def check_entries_as_files(entries: list[Entry], present: Present, catalogue: Catalogue) -> None:
-    """Raises EntryError, naming the key, for the first thing that a node's file could not have.
+    """Raises EntryError, naming the key, for the first entry that would be invalid in a node's file.
 
-    `present`: the entries that the change is laid over; `catalogue`: what is committed, by scope."""
-    if len(entries) > MAX_ENTRIES:
-        raise EntryError(f"entries: expected at most {MAX_ENTRIES}, got {len(entries)}")
+    `present` returns the entries before the change, `catalogue` has the committed entries by scope."""
+    if len(entries) > MAX_ENTRIES_PER_CALL:
+        raise EntryError(f"entries: expected at most {MAX_ENTRIES_PER_CALL}, got {len(entries)}")
     change = {entry.key: entry for entry in entries}
     for entry in entries:
         label = f"{entry.kind} {entry.name}"
-        if not 0 < len(entry.name) <= MAX_NAME or not entry.name.isprintable():
-            expected = f"expected a printable name of at most {MAX_NAME} characters"
-            raise EntryError(f"{label[:MAX_NAME]}: {expected}")
+        if not 0 < len(entry.name) <= MAX_NAME_CHARACTERS or not entry.name.isprintable():
+            expected = f"expected a printable name of at most {MAX_NAME_CHARACTERS} characters"
+            raise EntryError(f"{label[:MAX_NAME_CHARACTERS]}: {expected}")
         if entry.on:
             try:
                 check_body(entry)
@@ -102,7 +102,7 @@
 
 
 def check_references(entry: Entry, change: dict[Key, Entry], present: Present) -> None:
-    """Raises EntryError for a service or a tenant that is named and will not exist."""
+    """Raises EntryError if the entry refers to a service or a tenant that will not exist after the change."""
 
     def exists(key: Key) -> bool:
         return change[key].on if key in change else present(key) is not None
@@ -117,16 +117,16 @@
 
 
 def service_of(entry: Entry) -> str:
-    """The service that an entry names; empty for none."""
+    """Returns the name of the service that an entry refers to, or an empty text."""
     if entry.kind == "service":
         return ""
     return entry.body.get("service", "") if entry.kind == "tenant" else entry.scope
 
 
 def user_of(removed: Entry, change: dict[Key, Entry], present: Present, catalogue: Catalogue) -> str:
-    """What still names an entry that is taken out, or nothing.
+    """Returns an entry that still refers to one that is removed, as "kind name", or an empty text.
 
-    Guards against routes, backends and tenants whose service is gone, and limits whose tenant is."""
+    Guards against routes, backends and tenants without their service, and limits without their tenant."""
     keys: Iterable[Key] = ()
     if removed.kind == "service":
         tenants = [entry.key for entry in catalogue.tenants.values() if service_of(entry) == removed.name]
