--- a/basalthoist/configuration/limits.py
+++ b/basalthoist/configuration/limits.py
@@ -17,9 +17,8 @@
     memory_mb: Positive = 192
     sockets: Annotated[int, msgspec.Meta(ge=64)] = 1024
     reserve: Count = 48  # descriptors for listener, discovery, log, event loop and closing connections
-    upstream_part: Annotated[float, msgspec.Meta(gt=0, lt=1)] = (
-        0.3  # of the other descriptors, unavailable to clients
-    )
+    # Of the other descriptors, unavailable to clients.
+    upstream_part: Annotated[float, msgspec.Meta(gt=0, lt=1)] = 0.3
     head_bytes: Count = 16 * 1024
     body_bytes: Count = 64 * 1024  # Bodies up to this size are buffered, longer ones are streamed.
     long_bytes: Count = 40 * 1024 * 1024  # Longer bodies are rejected.
@@ -28,9 +27,8 @@
     backlog: Count = 512
     admin_line_s: Positive = 5.0  # time for a caller of the admin interface to complete its line
     client_idle_s: Positive = 120.0  # idle timeout of a client's connection between requests
-    client_kept_part: Annotated[float, msgspec.Meta(gt=0, lt=1)] = (
-        0.2  # maximum part of the descriptors for idle clients
-    )
+    # Maximum part of the descriptors for idle clients.
+    client_kept_part: Annotated[float, msgspec.Meta(gt=0, lt=1)] = 0.2
     client_fresh_s: Positive = 0.1  # age up to which a connection is expected to send its first request
     client_first_s: Positive = 2.6  # from connecting to the end of the first request
     client_read_s: Positive = 2.6  # from the first byte of a request to the last
@@ -40,12 +38,10 @@
     client_close_s: Positive = 1.0  # time for a client to close after the last response
     client_errors: Count = 8  # number of faulty requests that ends a connection
     client_transit_s: Annotated[float, msgspec.Meta(ge=0)] = 0.001  # from a client's send to the arrival here
-    upstream_idle_part: Annotated[float, msgspec.Meta(gt=0, lt=1)] = (
-        0.5  # of the backend's keep-alive timeout
-    )
-    upstream_rest_s: Annotated[float, msgspec.Meta(ge=0)] = (
-        0.001  # pause of a connection between two requests
-    )
+    # Of the backend's keep-alive timeout.
+    upstream_idle_part: Annotated[float, msgspec.Meta(gt=0, lt=1)] = 0.5
+    # Pause of a connection between two requests.
+    upstream_rest_s: Annotated[float, msgspec.Meta(ge=0)] = 0.001
     connect_s: Positive = 1.0  # connect timeout if the settings give none
     probe_s: Positive = 0.1  # timeout of a health check
     first_list_s: Positive = 0.3  # how long `/ready` waits for discovery before the saved list is used
--- a/basalthoist/shadow.py
+++ b/basalthoist/shadow.py
@@ -1,8 +1,8 @@
-"""A trial of other settings: a second balancer sees the same events, and its decisions are only counted.
+"""Shadow balancer: tries other settings on the same events and counts how its decisions differ.
 
-After each event the requests on which the two balancers differed are copied from the real one, so that one
-difference does not cause others. A request counts once in each kind. Nothing here does I/O; exceptions are
-the caller's to catch.
+After each event, requests on which the two balancers decided differently are copied from the real balancer,
+so that one difference does not cause others. A request is counted at most once per kind of difference. This
+module does no I/O. Exceptions of the shadow reach the caller, which must catch them.
 """
 
 from bisect import insort
@@ -23,49 +23,49 @@
 HEALTH_CHECK_OR_GOSSIP = "health check or gossip"
 KINDS = (ANOTHER_BACKEND, SEND_OR_HOLD, SHED_OR_SEND, RETRY, CANCEL, HEALTH_CHECK_OR_GOSSIP)
 FINAL_ACTIONS = ("shed", "fail")
-LATE_WAKE = 20  # tenths of a millisecond after which the shadow's own wake is made up for
+LATE_WAKE = 20  # tenths of a millisecond; a timer of the shadow that is later than this runs at the next event
 
 
 class Decision(NamedTuple):
-    """What a balancer asked of its host; `argument`: a backend, an attempt's number or a count."""
+    """A call of a balancer to its host. `argument`: a backend, an attempt's number or a message count."""
 
     action: str
     argument: str | int | None = None
 
 
 class DecisionRecorder:
-    """A `BalancerHost` that does nothing but record decisions until the next event."""
+    """A `BalancerHost` that records decisions and carries none out."""
 
     def __init__(self) -> None:
         self.by_request: dict[int, list[Decision]] = {}
         self.other: list[Decision] = []
 
     def record(self, request: int, decision: Decision) -> None:
-        """Adds a decision about a request."""
+        """Records a decision about a request."""
         self.by_request.setdefault(request, []).append(decision)
 
     def send(self, request: int, backend: str, timeout: int) -> None:
-        """Records the backend."""
+        """Records an attempt and its backend."""
         self.record(request, Decision("send", backend))
 
     def shed(self, request: int, retry_after: int) -> None:
-        """Records the answer."""
+        """Records that the request is shed."""
         self.record(request, Decision("shed"))
 
     def fail(self, request: int) -> None:
-        """Records the answer."""
+        """Records that the request fails."""
         self.record(request, Decision("fail"))
 
     def cancel(self, request: int, attempt_number: int) -> None:
-        """Records the attempt."""
+        """Records the cancelled attempt."""
         self.record(request, Decision("cancel", attempt_number))
 
     def withdraw(self, request: int, attempt_number: int) -> bool:
-        """Withdraws nothing."""
+        """Returns False: the shadow has no unsent attempts to withdraw."""
         return False
 
     def health_check(self, backend: str) -> None:
-        """Records the backend."""
+        """Records a health check and its backend."""
         self.other.append(Decision("health_check", backend))
 
     def gossip(self, messages: list[GossipMessage], peers: list[int]) -> None:
@@ -76,7 +76,7 @@
         """Does nothing."""
 
     def wake(self, after: int, tag: str) -> None:
-        """Does nothing: the shadow is woken with the real balancer."""
+        """Does nothing: the events of the real balancer, timers included, are passed to the shadow."""
 
     def log(self, line: str) -> None:
         """Does nothing."""
@@ -88,7 +88,7 @@
 
 
 class RecordingHost:
-    """A `BalancerHost` that records each decision and has the real host carry it out."""
+    """A `BalancerHost` that records each decision and forwards it to the real host."""
 
     def __init__(self, host: BalancerHost, recorder: DecisionRecorder) -> None:
         self.host: BalancerHost = host
@@ -105,7 +105,10 @@
 
 
 class Shadow:
-    """Compares the decisions of `real` with those under other settings, until `leave`."""
+    """Compares the decisions of `real` with those under other settings, until `leave` is called.
+
+    `seed` and `now` are those of the shadow's balancer; times are in tenths of a millisecond.
+    """
 
     def __init__(self, real: Balancer, seed: int, settings: dict, now: int) -> None:
         self.real: Balancer = real
@@ -116,14 +119,14 @@
         self.balancer: Balancer = Balancer(self.decisions, seed, settings, now)
         self.counts: Counter[str] = Counter(dict.fromkeys(KINDS, 0))
         self.requests_seen: int = 0
-        self.counted_kinds: dict[int, set[str]] = {}  # by request in progress
+        self.counted_kinds: dict[int, set[str]] = {}  # kinds already counted, by request in progress
 
     def leave(self) -> None:
-        """Gives the real balancer its host back."""
+        """Stops recording: gives the real balancer its own host back."""
         self.real.replace_host(self.host)
 
-    def on_event(self, event: str, now: int, *arguments: Any) -> None:  # noqa: ANN401 - as the event has them
-        """Repeats an event that the real balancer has taken, and counts the differences."""
+    def on_event(self, event: str, now: int, *arguments: Any) -> None:  # noqa: ANN401 - the types depend on the event
+        """Repeats an event that the real balancer has handled, and counts the differences."""
         requested_wake_at = self.balancer.schedule.requested_wake_at
         if requested_wake_at and requested_wake_at < now - LATE_WAKE:
             self.balancer.on_wake(now, "due")
@@ -138,7 +141,7 @@
         self.decisions.clear()
 
     def compare_other(self) -> None:
-        """Compares health checks and gossip, which are counted by event."""
+        """Compares health checks and gossip, which are counted once per event."""
         real, own = self.real_decisions.other, self.decisions.other
         if real == own:
             return
@@ -147,10 +150,10 @@
             if decision.action == "health_check" and decision not in real:
                 backend = self.balancer.backends.get(decision.argument)
                 if backend is not None:
-                    backend.health_check_at = 0  # it was never sent
+                    backend.health_check_at = 0  # The shadow's health check was never sent.
 
     def compare(self, number: int, event: str, now: int) -> None:
-        """Counts the differences about a request, and copies it where there are any."""
+        """Counts the differences on one request. Copies the real request if there are any."""
         real = self.real_decisions.by_request.get(number, [])
         own = self.decisions.by_request.get(number, [])
         for kind in self.kinds(real, own, event):
@@ -164,7 +167,7 @@
 
     @staticmethod
     def kinds(real: list[Decision], own: list[Decision], event: str) -> list[str]:
-        """The kinds of difference between two lists of decisions about one request."""
+        """Returns the kinds of difference between two lists of decisions on one request."""
         kinds = []
         real_cancels, own_cancels = ({d for d in side if d.action == "cancel"} for side in (real, own))
         real_sends, own_sends = ([d for d in side if d.action == "send"] for side in (real, own))
@@ -180,7 +183,7 @@
         return kinds
 
     def follow(self, number: int, now: int) -> None:
-        """Replaces a request by a copy of the real one."""
+        """Replaces a request by a copy of the real one, and takes over the credit of all backends."""
         for name, backend in self.balancer.backends.items():
             if name in self.real.backends:
                 backend.credit = self.real.backends[name].credit
@@ -192,15 +195,15 @@
             self.copy(real, own, now)
 
     def drop(self, request: Request) -> None:
-        """Removes a request of the shadow's."""
+        """Removes a request from the shadow balancer's state, which no longer lists it."""
         self.balancer.unqueue(request)
-        request.finished = True  # what is still scheduled for it finds it finished
+        request.finished = True  # Timers that are still scheduled for the request have no effect.
         for attempt in request.attempts:
             backend = attempt.backend
             backend.open_attempts = [a for a in backend.open_attempts if a is not attempt]
 
     def copy(self, real: Request, own: Request | None, now: int) -> None:
-        """Adds a copy of a real request; `own` is the shadow's one that it replaces."""
+        """Adds a copy of a real request. `own`: the shadow's request that the copy replaces, if any."""
         route = self.balancer.routes[self.real.routes.index(real.route)]
         copy = Request(real.id, route, now, real.deadline, real.objective_at, real.surplus, real.spilled)
         copy.streaming = real.streaming
@@ -211,7 +214,7 @@
         copy.order = real.order
         for number, attempt in enumerate(real.attempts):
             backend = self.balancer.backends.get(attempt.backend.name)
-            if backend is None:  # it is no longer listed
+            if backend is None:  # The shadow no longer lists the backend.
                 was_attempted = own is not None and number < len(own.attempts)
                 backend = own.attempts[number].backend if was_attempted else attempt.backend
             self.copy_attempt(attempt, copy, backend, now)
@@ -227,13 +230,13 @@
         attempt.announced = real.announced
         attempt.overtaken = real.overtaken
         request.attempts.append(attempt)
-        # Not those that count as lost, nor those whose body is still on its way there.
+        # Leaves out attempts that count as lost and those whose request body is still being sent.
         if real in real.backend.open_attempts and backend is not real.backend:
             backend.open_attempts.append(attempt)
             schedule, objective = self.balancer.schedule, self.balancer.route_bounds.objective
             schedule.at(now + objective, self.balancer.check_silence, attempt)
 
     def line(self) -> str:
-        """The counts as a log line."""
+        """Returns the counts as a log line."""
         counts = ", ".join(f"{kind} {self.counts[kind]}" for kind in KINDS)
         return f"shadow: {self.requests_seen} requests, otherwise decided: {counts}"
--- a/basalthoist/simulator/__init__.py
+++ b/basalthoist/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The decision module behind the bench's wire."""
+"""Adapter that runs the decision code in a simulator, with events as lines on standard input and output."""
--- a/basalthoist/simulator/adapter.py
+++ b/basalthoist/simulator/adapter.py
@@ -1,4 +1,4 @@
-"""Wire events become calls on one `Node` an instance; what the node asks of its host becomes wire lines."""
+"""Translates the simulator's events into calls on one `Balancer` per instance, and decisions into lines."""
 
 import sys
 from base64 import b64decode, b64encode
@@ -16,12 +16,12 @@
 }  # fmt: skip
 
 
-def clock_tenths(micros: int) -> int:
-    return micros // 100
+def clock_tenths(microseconds: int) -> int:
+    return microseconds // 100
 
 
 class Instance:
-    """The host of one node, and the door through which its events come."""
+    """One simulated node: the host of its balancer, which also receives the events of the simulator."""
 
     def __init__(self, who: str, out: list[str], salt: int, settings: dict, now: int) -> None:
         self.prefix = "\t" + who
@@ -42,13 +42,13 @@
         self.out.append(f"ABANDON{self.prefix}\t{request}\t{attempt_number}\n")
 
     def withdraw(self, request: int, attempt_number: int) -> bool:
-        return False  # the wire does not tell what is written
+        return False  # The wire form does not report whether an attempt was written.
 
     def health_check(self, backend: str) -> None:
         self.out.append(f"POLL{self.prefix}\t{backend}\n")
 
-    def gossip(self, words: list[tuple[GossipKind, int, int]], peers: list[int]) -> None:
-        blob = b64encode(encode(words)).decode()
+    def gossip(self, messages: list[tuple[GossipKind, int, int]], peers: list[int]) -> None:
+        blob = b64encode(encode(messages)).decode()
         self.out += [f"POST{self.prefix}\t{peer}\t{blob}\n" for peer in peers]
 
     def subscribe(self) -> None:
@@ -63,11 +63,11 @@
     def load(self, row: str) -> LoadReport | None:
         if row == "-" or not row:
             return None
-        figures = (None if v in ("", "-") else float(v) for v in row.split(","))
-        values = dict(zip(self.fields, figures, strict=False))
+        fields = (None if v in ("", "-") else float(v) for v in row.split(","))
+        values = dict(zip(self.fields, fields, strict=False))
         return LoadReport(values.get("inflight"), values.get("queue"), values.get("util"), values.get("rate"))
 
-    def take(self, now: int, parts: list[str], lists: dict) -> None:
+    def handle_event(self, now: int, parts: list[str], lists: dict) -> None:
         name, balancer = parts[0], self.balancer
         if name == "QUERY":
             _, _, txn, route, customer, _, grace, _, flags = parts
@@ -84,10 +84,10 @@
             balancer.on_health_check_ended(now, backend, OUTCOMES[outcome], tenths(int(rtt)), self.load(row))
         elif name == "MESSAGE":
             try:
-                words = decode(b64decode("" if parts[3] == "-" else parts[3]))
+                messages = decode(b64decode("" if parts[3] == "-" else parts[3]))
             except ValueError:
-                return  # what no node has written is dropped
-            balancer.on_gossip(now, int(parts[2]), words)
+                return  # Drops a message that no node has encoded.
+            balancer.on_gossip(now, int(parts[2]), messages)
         elif name == "ALARM":
             balancer.on_wake(now, parts[2])
         elif name == "ABORTED":
@@ -120,34 +120,34 @@
                     instances.pop(who, None)
                 elif who in instances:
                     instances[who].out = out
-                    instances[who].take(now, parts, lists)
-            except (ValueError, KeyError) as wrong:
-                if broke_in_module(wrong):
-                    out[mark:] = [f"PANIC\t{who}\t{describe(wrong)}\n"]
+                    instances[who].handle_event(now, parts, lists)
+            except (ValueError, KeyError) as error:
+                if raised_by_decisions(error):
+                    out[mark:] = [f"PANIC\t{who}\t{describe(error)}\n"]
                 else:
-                    reader.bad(f"well-formed values for {parts[0]} ({wrong})", "\t".join(parts))
-            except Exception as wrong:
-                out[mark:] = [f"PANIC\t{who}\t{describe(wrong)}\n"]
+                    reader.bad(f"well-formed values for {parts[0]} ({error})", "\t".join(parts))
+            except Exception as error:
+                out[mark:] = [f"PANIC\t{who}\t{describe(error)}\n"]
         sink.write("".join(out) + f"OK\t{batch}\n")
         sink.flush()
 
 
-def origin(wrong: BaseException):
-    step = wrong.__traceback__
-    while step.tb_next is not None:
-        step = step.tb_next
-    return step
+def innermost_frame(error: BaseException):
+    entry = error.__traceback__
+    while entry.tb_next is not None:
+        entry = entry.tb_next
+    return entry
 
 
-def broke_in_module(wrong: BaseException) -> bool:
-    """Whether it was the decisions that raised it, not the reading of a value here."""
-    return origin(wrong).tb_frame.f_globals.get("__name__", "").startswith("basalthoist.decisions")
+def raised_by_decisions(error: BaseException) -> bool:
+    """Whether the decision code raised the exception, rather than the parsing of a value in this module."""
+    return innermost_frame(error).tb_frame.f_globals.get("__name__", "").startswith("basalthoist.decisions")
 
 
-def describe(wrong: BaseException) -> str:
-    step = origin(wrong)
-    where = f"{step.tb_frame.f_code.co_name}:{step.tb_lineno}"
-    return f"{type(wrong).__name__}: {wrong} at {where}".replace("\n", " ")[:200]
+def describe(error: BaseException) -> str:
+    entry = innermost_frame(error)
+    where = f"{entry.tb_frame.f_code.co_name}:{entry.tb_lineno}"
+    return f"{type(error).__name__}: {error} at {where}".replace("\n", " ")[:200]
 
 
 def main() -> int:
@@ -155,8 +155,8 @@
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")
     try:
         serve(sys.stdin, sys.stdout)
-    except WireError as wrong:
-        print(wrong, file=sys.stderr)
+    except WireError as error:
+        print(error, file=sys.stderr)
         return 2
     except (BrokenPipeError, KeyboardInterrupt):
         return 1
--- a/basalthoist/simulator/codec.py
+++ b/basalthoist/simulator/codec.py
@@ -1,4 +1,4 @@
-"""Lines of the bench's wire, in and out. Nothing here knows what an exchange is."""
+"""Parses the lines of the simulator's wire form into batches of events, without interpreting the events."""
 
 from collections.abc import Iterator
 from typing import NoReturn, TextIO
@@ -6,7 +6,7 @@
 from basalthoist.decisions.interface import Endpoint
 
 BACKEND_STATES = {"healthy": "healthy", "cordoned": "draining", "deregistered": "gone"}
-# Event name: how many values follow it. None: at least two, the rest being settings.
+# The number of values that follow each event name. None: at least two, of which the others are settings.
 EVENT_VALUES = {
     "START": None, "TOPOLOGY": 4, "QUERY": 8, "MESSAGE": 3, "ABORTED": 2, "UNDER_WAY": 5, "CRASH_NOW": 1,
     "ATTEMPT_END": 8, "PROBED": 5, "ALARM": 2, "CATALOG": 2,
@@ -14,20 +14,21 @@
 
 
 class WireError(Exception):
-    """Input that is not in the form agreed; its text names batch, line and what was expected."""
+    """Input is not in the agreed form. The message names the batch, the line and what was expected."""
 
 
 class Reader:
-    """Reads batches: `frame()` gives the clock and number of the next, `events()` its events, split."""
+    """Reads batches: `frame()` returns the clock and number of the next one, `events()` yields its events as
+    lists of values."""
 
     def __init__(self, source: TextIO) -> None:
         self.source = source
-        self.line_no = 0
+        self.line_number = 0
         self.batch: str = "none"
 
     def bad(self, expected: str, line: str) -> NoReturn:
         shown = line.rstrip("\n")[:80]
-        raise WireError(f"batch {self.batch}, line {self.line_no}: expected {expected}, got {shown!r}")
+        raise WireError(f"batch {self.batch}, line {self.line_number}: expected {expected}, got {shown!r}")
 
     def number(self, text: str, what: str) -> int:
         try:
@@ -37,7 +38,7 @@
 
     def frame(self) -> tuple[int, str] | None:
         for line in self.source:
-            self.line_no += 1
+            self.line_number += 1
             if line == "\n":
                 continue
             parts = line.rstrip("\n").split("\t")
@@ -50,7 +51,7 @@
 
     def events(self) -> Iterator[list[str]]:
         for line in self.source:
-            self.line_no += 1
+            self.line_number += 1
             if line == "YOUR_TURN\n" or line == "YOUR_TURN":
                 return
             if line == "\n":
@@ -68,7 +69,7 @@
         entries = []
         for _ in range(self.number(count, "the number of entries")):
             line = self.source.readline()
-            self.line_no += 1
+            self.line_number += 1
             parts = line.rstrip("\n").split("\t")
             if parts[0] != "BACKEND" or len(parts) != 8:
                 self.bad("a BACKEND line with 7 values", line)
--- a/basalthoist/start.py
+++ b/basalthoist/start.py
@@ -1,4 +1,4 @@
-"""The start of one node: configuration, signals, event loop."""
+"""Starts a node: reads its configuration, installs signal handlers and runs the event loop."""
 
 import gc
 import signal
@@ -22,14 +22,14 @@
 
 
 class LogFormat(Protocol):
-    """Another form for the log's lines."""
+    """A replacement for the plain format of log lines."""
 
     def bind(self, log: "Log") -> None:
-        """Writes the lines of this log from now on."""
+        """Writes all further lines of `log` in this format."""
 
 
 class NodeFiles(NamedTuple):
-    """What the node's files say. Parts that no file names are None."""
+    """The contents of a node's configuration files; None for an optional file that is not set."""
 
     configuration: "Configuration"
     gateway: "GatewayDocument | None"
@@ -39,12 +39,12 @@
 
 
 def serve_by(log_format: LogFormat | None = None) -> int:
-    """Serves by the file that PROXY_CONFIG names, until a signal ends it; returns the exit code."""
-    # Guards against a SIGHUP before there is a node, which would end the process, or be missed once the file
-    # has been read. Ahead of the imports, which take longest.
+    """Runs the node that PROXY_CONFIG configures until a shutdown signal. Returns the exit code."""
+    # Guards against a SIGHUP before the node exists, which would end the process, or be lost once the file has
+    # been read. The handler is installed before the imports, which take most of the start.
     hangups: list[bool] = []
     signal.signal(signal.SIGHUP, lambda *_: hangups.append(True))
-    # Nothing that a start makes becomes garbage: the collector took a tenth of a start's processor time.
+    # No object of the start becomes garbage; the collector took a tenth of the start's processor time.
     gc.disable()
 
     import uvloop
@@ -53,19 +53,22 @@
 
     try:
         files = read_files(hangups)
-    except ConfigurationError as wrong:
-        print(f"basalthoist: configuration: {wrong}", file=sys.stderr)
+    except ConfigurationError as error:
+        print(f"basalthoist: configuration: {error}", file=sys.stderr)
         return EXIT_CONFIGURATION_ERROR
     try:
         uvloop.run(run(files, log_format, hangups))
-    except OSError as wrong:
-        print(f"basalthoist: {wrong}", file=sys.stderr)
+    except OSError as error:
+        print(f"basalthoist: {error}", file=sys.stderr)
         return EXIT_SOCKET_ERROR
     return 0
 
 
 def read_files(hangups: list[bool]) -> NodeFiles:
-    """Reads the node's files, with all that the `hangups` so far ask for; raises ConfigurationError."""
+    """Reads the node's files and clears `hangups`: files read now satisfy every earlier SIGHUP.
+
+    Raises ConfigurationError.
+    """
     from .configuration import load, load_distribution, load_fleet, load_gateway, load_jsonrpc
 
     hangups.clear()
@@ -80,7 +83,7 @@
 
 
 async def run(files: NodeFiles, log_format: LogFormat | None, hangups: list[bool]) -> None:
-    """Runs one node. `hangups`: not empty where a SIGHUP has come since its files began to be read."""
+    """Runs one node. `hangups` is not empty if a SIGHUP came since the node began to read its files."""
     import asyncio
 
     from .net.service import Service
@@ -89,12 +92,12 @@
     service = Service(
         files.configuration, loop, files.gateway, files.jsonrpc, files.fleet, files.distribution
     )
-    # What the start has made is not looked through while the node serves either.
+    # Excludes the objects of the start from garbage collection while the node serves.
     gc.freeze()
     gc.enable()
     if log_format is not None:
         log_format.bind(service.log)
-    # Not by the loop: as it closes, it gives each signal its usual effect back.
+    # Not `loop.add_signal_handler`: the loop restores the default action of each signal when it closes.
     handle(SHUTDOWN_SIGNALS, lambda: loop.call_soon_threadsafe(service.shut_down))
     handle((signal.SIGHUP,), lambda: loop.call_soon_threadsafe(service.reload))
     if hangups:
@@ -102,12 +105,12 @@
     try:
         await service.serve()
     finally:
-        # Guards against a signal that would end the exit in another way, whichever thread gets it.
+        # Guards against a signal during the exit, in any thread, that would change the exit code.
         for number in (*SHUTDOWN_SIGNALS, signal.SIGHUP):
             signal.signal(number, signal.SIG_IGN)
 
 
 def handle(numbers: tuple[signal.Signals, ...], act: Callable[[], object]) -> None:
-    """Calls `act` at each of these signals."""
+    """Installs `act` as the handler of the signals `numbers`."""
     for number in numbers:
         signal.signal(number, lambda *_: act())
