--- a/basalthoist/gateway/__init__.py
+++ b/basalthoist/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Spill over to other sites: requests that a site cannot serve are sent to another site's nodes."""
+"""Spill to other sites: requests that a site cannot serve are sent to the nodes of another site."""
--- a/basalthoist/jsonrpc/client_connection.py
+++ b/basalthoist/jsonrpc/client_connection.py
@@ -1,4 +1,4 @@
-"""Connections of JSON-RPC clients: many calls in progress on each, batches, notifications."""
+"""Connections of JSON-RPC clients, each with many calls in progress, batches and notifications."""
 
 import asyncio
 import os
@@ -27,35 +27,40 @@
 if TYPE_CHECKING:
     from .front_end import JsonRpcFrontEnd
 
-QUEUED_AFTER = 10  # tenths of a millisecond; a call that has waited so long asks its client before an attempt
+# A call that waited longer, in tenths of a millisecond, checks that its client is connected before an attempt.
+QUEUED_AFTER = 10
 
 
 class Caller:
-    """One call: the client of its request. The response to a notification is dropped."""
+    """One call, which acts as the client of its request. The response to a notification is dropped."""
 
     __slots__ = ("connection", "call_id", "batch", "request")
 
     def __init__(self, connection: "JsonRpcClientConnection", call_id: bytes, batch: "Batch | None") -> None:
         self.connection: JsonRpcClientConnection = connection
-        self.call_id: bytes = call_id  # empty for a notification
+        self.call_id: bytes = call_id  # empty: a notification
         self.batch: Batch | None = batch
         self.request: JsonProxiedRequest | None = None
 
     def has_disconnected(self) -> bool:
-        """Whether the client has left. One that sent a notification may close without being gone."""
+        """Whether the client has disconnected.
+
+        A call that was queued or attempted checks that its client still waits. A client that sent a notification waits for no
+        response and may have closed its sending direction.
+        """
         was_queued = self.request.calls or now() - self.request.came_at > QUEUED_AFTER
         return (
             self.connection.has_disconnected() if self.call_id and was_queued else self.connection.is_broken()
         )
 
     def abort(self) -> None:
-        """Aborts the connection of a client that has left."""
+        """Aborts the connection of a client that has disconnected."""
         self.connection.transport.abort()
 
     def answer(
         self, status: int, headers: list[tuple[bytes, bytes]] | tuple = (), body: bytes | memoryview = b""
     ) -> None:
-        """Ends the call by the response that means the same as this one over HTTP."""
+        """Ends the call with the JSON-RPC response that corresponds to an HTTP response."""
         self.request = None
         if status == 200:
             member = bytes(body)
@@ -69,7 +74,7 @@
 
 
 class Batch:
-    """The responses of a batch, written as one array once all its calls have ended."""
+    """Collects the responses of a batch, which are written as one array when all its calls have ended."""
 
     __slots__ = ("calls_left", "responses")
 
@@ -79,21 +84,21 @@
 
 
 class JsonRpcClientConnection(asyncio.Protocol):
-    """One JSON-RPC connection of a client, with many calls in progress."""
+    """One connection of a JSON-RPC client."""
 
     def __init__(self, front_end: "JsonRpcFrontEnd") -> None:
         self.front_end: JsonRpcFrontEnd = front_end
         self.transport: asyncio.Transport | None = None
-        self.pending: bytes = b""  # read and not yet parsed
+        self.pending: bytes = b""  # bytes read and not yet parsed
         self.last_progress_at: int = now()
         self.arrivals: Arrivals = Arrivals()
-        self.came_at: int = self.last_progress_at  # arrival of the line that is parsed
+        self.came_at: int = self.last_progress_at  # arrival time of the line that is being parsed
         self.callers: dict[Caller, None] = {}
-        self.call_ids: set[bytes] = set()  # of the calls in progress
+        self.call_ids: set[bytes] = set()  # ids of the calls in progress
         self.write_buffer_full: bool = False
         self.reading_paused: bool = False
-        self.input_ended: bool = False  # the client sends nothing more
-        self.output_ended: bool = False  # all is answered and the end written; what still comes is dropped
+        self.input_ended: bool = False  # The client sends nothing more.
+        self.output_ended: bool = False  # All is answered and the end is written; further input is dropped.
 
     # Called by the event loop.
 
@@ -114,7 +119,7 @@
         self.front_end.check_drained()
 
     def data_received(self, data: bytes) -> None:
-        """Starts the calls that have come."""
+        """Parses the data and starts the calls in it."""
         if self.output_ended:
             return
         self.last_progress_at = now()
@@ -123,20 +128,20 @@
         self.advance()
 
     def eof_received(self) -> bool:
-        """The client sends no more calls and waits for responses."""
+        """Records that the client sends no more calls. Keeps the connection open for responses."""
         self.input_ended = True
         self.end_if_done()
         return True
 
     def pause_writing(self) -> None:
-        """The write buffer is full."""
-        # Guards against a client that calls and does not read: nothing more is taken from it meanwhile.
+        """Pauses reading while the write buffer is full."""
+        # Guards against a client that sends calls and does not read the responses.
         self.write_buffer_full = True
         self.last_progress_at = now()
         self.update_reading()
 
     def resume_writing(self) -> None:
-        """The write buffer has drained."""
+        """Resumes reading after the write buffer has drained."""
         self.write_buffer_full = False
         self.last_progress_at = now()
         self.update_reading()
@@ -147,20 +152,20 @@
         return has_ended(self.transport)
 
     def has_disconnected(self) -> bool:
-        """Whether a client that waits for a response has closed.
+        """Whether a client that waits for a response has closed the connection.
 
-        One that has only ended its sending may still read, one that has closed looks the same. It is told
-        apart by a space, which JSON allows ahead of a response: the machine of one that has closed replies
-        with a reset, on one machine within the write and else a round trip later.
+        A client that only ended its sending direction may still read, and looks the same. To tell them apart,
+        a space is written, which JSON allows before a response: if the client has closed, its machine replies
+        with a reset, within the write on the same machine, else one round trip later.
         """
         if self.is_broken() or not has_ended(self.transport, select.POLLRDHUP):
             return self.is_broken()
-        # Guards against a space in the midst of a line. What waits to be written does its work as well.
+        # Guards against a space in the middle of a line. Data that waits to be written serves as well.
         if not self.transport.get_write_buffer_size():
             try:
                 os.write(descriptor_of(self.transport), b" ")
             except BlockingIOError:
-                pass  # it doesn't read, but is there
+                pass  # The client does not read, but is connected.
             except OSError:
                 return True
         return self.is_broken()
@@ -168,11 +173,11 @@
     # Lines and calls.
 
     def advance(self) -> None:
-        """Parses complete lines while more calls may be in progress."""
+        """Parses complete lines until the maximum number of calls is in progress."""
         if self.reading_paused and self.is_broken():
-            # Guards against calls that are begun for a client whose end was not read meanwhile.
+            # Guards against calls started for a client that closed while reading was paused.
             return self.transport.abort()
-        while not self.write_buffer_full and len(self.callers) < self.front_end.most_open:
+        while not self.write_buffer_full and len(self.callers) < self.front_end.max_open_calls:
             end = self.pending.find(b"\n")
             if (end if end >= 0 else len(self.pending)) > self.front_end.limits.body_bytes:
                 return self.refuse_long_line()
@@ -181,28 +186,28 @@
             line, self.pending = self.pending[:end].strip(), self.pending[end + 1 :]
             self.came_at = self.arrivals.arrival_of_last_byte(len(self.pending))
             if line:
-                self.take_line(line)
+                self.handle_line(line)
         self.update_reading()
 
     def refuse_long_line(self) -> None:
-        """Guards against a line without end: what is buffered is bounded, and it is answered once."""
+        """Answers a line that is too long with an error and ends the input, so that the buffer is bounded."""
         self.write_line(encode_response(b"null", encode_error_member(INVALID_REQUEST)))
         self.pending = b""
         self.input_ended = True
         self.end_if_done()
 
     def update_reading(self) -> None:
-        """Pauses or resumes reading, by the write buffer and the number of calls."""
-        pause = self.write_buffer_full or len(self.callers) >= self.front_end.most_open
+        """Pauses or resumes reading, depending on the write buffer and the number of calls in progress."""
+        pause = self.write_buffer_full or len(self.callers) >= self.front_end.max_open_calls
         if pause != self.reading_paused and not self.transport.is_closing():
             self.reading_paused = pause
             (self.transport.pause_reading if pause else self.transport.resume_reading)()
 
-    def take_line(self, line: bytes) -> None:
-        """Begins the call or the batch of calls in a line."""
+    def handle_line(self, line: bytes) -> None:
+        """Starts the call or the batch of calls in a line."""
         try:
             is_batch, texts = split_batch(line)
-            if len(texts) > self.front_end.most_batch:
+            if len(texts) > self.front_end.max_batch_calls:
                 raise InvalidCallError(TOO_MANY)
         except InvalidCallError as error:
             return self.write_line(encode_response(error.call_id, encode_error_member(error.code)))
@@ -211,14 +216,14 @@
             self.begin_call(text, batch)
 
     def begin_call(self, text: bytes, batch: Batch | None) -> None:
-        """Starts a call, or ends it by an error where it is invalid."""
+        """Starts a call, or answers it with an error if it is invalid."""
         caller = Caller(self, b"", batch)
         self.callers[caller] = None
         try:
             call = parse_call(text)
             call_id = bytes(call.id)
             if call_id and call_id != b"null":
-                # Guards against two responses of which the client could not tell which is whose.
+                # Guards against two responses with one id, which the client could not tell apart.
                 if call_id in self.call_ids:
                     raise InvalidCallError(INVALID_REQUEST)
                 self.call_ids.add(call_id)
@@ -233,7 +238,7 @@
         self.front_end.start(caller, call)
 
     def end_call(self, caller: Caller, member: bytes, holds_id: bool = True) -> None:
-        """Writes the response to a call, or adds it to its batch. `holds_id`: its id is free again."""
+        """Writes the response to a call, or adds it to its batch. `holds_id`: the call's id can be reused."""
         if self.callers.pop(caller, 0) == 0:
             return
         if holds_id:
@@ -249,8 +254,8 @@
         for response in responses:
             self.write_line(response)
         self.end_if_done()
-        # Not from within a decision: what waits is looked at in the loop's next turn.
-        if (self.pending or self.reading_paused) and len(self.callers) < self.front_end.most_open:
+        # Called back from the event loop, since `end_call` may run within a decision of the balancer.
+        if (self.pending or self.reading_paused) and len(self.callers) < self.front_end.max_open_calls:
             self.front_end.loop.call_soon(self.advance)
 
     def write_line(self, text: bytes) -> None:
@@ -258,10 +263,10 @@
         if not self.transport.is_closing():
             self.transport.write(text + b"\n")
 
-    # The end.
+    # Closing.
 
     def end_if_done(self) -> None:
-        """Ends the connection where nothing is owed and the client, or the shutdown, has ended it."""
+        """Ends the connection if every call is answered and the client, or the shutdown, has ended it."""
         if self.callers or b"\n" in self.pending or self.transport.is_closing():
             return
         if self.input_ended:
@@ -272,23 +277,26 @@
             self.end_output()
 
     def is_idle(self) -> bool:
-        """Whether nothing has been read of a call, nor lies unread."""
+        """Whether there is no unparsed input, neither here nor in the socket."""
         return not self.pending and not is_ready(descriptor_of(self.transport), select.POLLIN)
 
     def may_end(self) -> bool:
-        """Whether the shutdown ends this connection now."""
+        """Whether the shutdown can end this connection now."""
         shutdown = self.front_end.shutdown
         return shutdown.drain_grace_over and (shutdown.time_is_up or self.is_idle())
 
     def end_output(self) -> None:
-        """Guards against a reset that overtakes the last responses: closing with bytes unread sends one."""
+        """Ends the sending direction and drops further input until the client closes.
+
+        Closing with unread input would send a reset, which may overtake the last responses.
+        """
         if not self.output_ended:
             self.output_ended = True
             self.transport.resume_reading()
             self.transport.write_eof()
 
     def close_for_shutdown(self, last: bool) -> None:
-        """Answers every call, as the process ends. `last`: the client had time to close."""
+        """Answers every call because the process ends. `last`: the client had time to close."""
         for caller in list(self.callers):
             if caller.request is not None:
                 self.front_end.dispatcher.end_unanswered(caller.request)
@@ -298,7 +306,7 @@
             self.transport.abort()
 
     def check_time(self, at: int) -> None:
-        """Closes the connection where it exceeds one of the timeouts."""
+        """Closes the connection if it exceeds one of its timeouts."""
         limits, waited = self.front_end.limits, at - self.last_progress_at
         has_left = (self.reading_paused or self.input_ended) and self.is_broken()
         reads_too_slowly = self.write_buffer_full and waited > limits.client_read_s * SECOND
--- a/basalthoist/jsonrpc/front_end.py
+++ b/basalthoist/jsonrpc/front_end.py
@@ -1,4 +1,4 @@
-"""The JSON-RPC front end: accepts connections on its own address and starts the calls that come."""
+"""The JSON-RPC front end: accepts connections on its own address and starts the calls of clients."""
 
 import asyncio
 from collections.abc import Callable
@@ -21,7 +21,7 @@
 
 
 class JsonRpcFrontEnd:
-    """Serves JSON-RPC clients; the backends of this node speak JSON-RPC as well."""
+    """Serves JSON-RPC clients. The node speaks JSON-RPC to its backends as well."""
 
     def __init__(
         self,
@@ -41,17 +41,19 @@
         self.descriptors: DescriptorBudget = descriptors
         self.limits = configuration.limits
         routes = {route.name: (number, route) for number, route in enumerate(configuration.routes)}
-        self.methods: dict[str, tuple] = {  # each with its route's number and settings
+        self.methods: dict[str, tuple] = {  # number and settings of the route by method
             method: routes[route] for method, route in document.methods.items()
         }
         tenants = configuration.customers
         self.tenant: int = tenants.index(document.customer) if document.customer in tenants else 0
-        self.most_open: int = document.most_open  # calls in progress on a connection
-        self.most_batch: int = document.most_batch
+        self.max_open_calls: int = document.most_open  # maximum calls in progress on a connection
+        self.max_batch_calls: int = document.most_batch
         self.connections: dict[JsonRpcClientConnection, None] = {}
         self.notifications: int = 0
         self.listener: Listener | None = None
-        self.longest_timeout: int = int(configuration.longest_s * SECOND)  # deadline of any route
+        self.longest_timeout: int = int(
+            configuration.longest_s * SECOND
+        )  # tenths of a millisecond; of all routes
         self.shutdown: Shutdown = Shutdown(self)
         self.drained: asyncio.Future = self.shutdown.drained
         self.check_drained: Callable[[], None] = self.shutdown.check_drained
@@ -60,15 +62,15 @@
         timers.every(SWEEP_PERIOD, self.sweep)
 
     async def listen(self, address: tuple[str, int]) -> None:
-        """Raises OSError where the address cannot be used."""
+        """Starts to accept connections. Raises OSError if the address cannot be used."""
         sock = listening_socket(address, self.limits.backlog)
-        gives_back = self.descriptors.release
-        self.listener = Listener(self.loop, self.timers, self.log, sock, self.open, gives_back)
+        release_descriptor = self.descriptors.release
+        self.listener = Listener(self.loop, self.timers, self.log, sock, self.open, release_descriptor)
         self.listener.on_connection_set_up = self.check_drained
         self.log(f"listening for JSON-RPC on {address[0]}:{address[1]}")
 
     def open(self) -> asyncio.Protocol:
-        """The protocol of a new connection, which is rejected where no descriptor is left."""
+        """Returns the protocol of a new connection. The connection is rejected if no descriptor is left."""
         if not self.descriptors.acquire(lambda: False):
             self.descriptors.acquire_over_limit()
             return RejectedConnection(self)
@@ -80,7 +82,7 @@
         timeout = route.overall_timeout // 100 or SECOND
         number, params = self.dispatcher.next_number(), bytes(call.params)
         came_at = caller.connection.came_at
-        # Guards against a call that waited behind others here: its client has waited for it since it came.
+        # The deadline counts from arrival, since the client has waited while the call waited behind others.
         deadline = self.dispatcher.cap_deadline(came_at + timeout)
         request = JsonProxiedRequest(number, caller, call.method, params, deadline)
         request.came_at = came_at
@@ -96,7 +98,7 @@
     # Graceful shutdown.
 
     def begin_shutdown(self) -> None:
-        """As over HTTP: connections are accepted for a while, and all is answered before the end."""
+        """Begins to drain, as over HTTP: connections are accepted for a while, and all calls are answered."""
         self.shutdown.begin()
 
     def close_idle_connections(self) -> None:
@@ -105,18 +107,18 @@
             connection.end_if_done()
 
     def listener_shared(self) -> bool:
-        """No other process accepts from this listening socket."""
+        """Returns False: no other process accepts from this listening socket."""
         return False
 
 
 class RejectedConnection(asyncio.Protocol):
-    """A connection that is answered by an error and closed, as no descriptor is left."""
+    """A connection that is answered with an error and closed because no descriptor is left."""
 
     def __init__(self, front_end: JsonRpcFrontEnd) -> None:
         self.front_end: JsonRpcFrontEnd = front_end
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Answers and closes."""
+        """Writes the error and closes."""
         transport.write(encode_response(b"null", encode_error_member(SHED)) + b"\n")
         transport.close()
 
--- a/basalthoist/jsonrpc/messages.py
+++ b/basalthoist/jsonrpc/messages.py
@@ -1,6 +1,6 @@
-"""JSON-RPC 2.0 messages, without I/O: lines are parsed into calls and responses, and written.
+"""Parses and encodes the lines of JSON-RPC 2.0: calls and responses. Does no I/O.
 
-Parameters, results and ids are passed on as the bytes they came in; nothing of them is decoded.
+Parameters, results and ids are forwarded as the received bytes, without decoding.
 """
 
 from typing import Annotated, Any, NamedTuple
@@ -31,7 +31,7 @@
 
 
 class JsonRpcCall(msgspec.Struct):
-    """A call from a client; the fields are the keys on the wire."""
+    """A call from a client. The fields are the keys on the wire."""
 
     jsonrpc: str
     method: str
@@ -46,7 +46,7 @@
 
 
 class JsonRpcResponse(msgspec.Struct):
-    """A response from a backend. `load` is an extension, as `Server-Load` is over HTTP."""
+    """A response from a backend. `load` is an extension that corresponds to `Server-Load` over HTTP."""
 
     jsonrpc: str
     id: str
@@ -64,16 +64,16 @@
 
 
 class BackendResponse(NamedTuple):
-    """A backend's response in the terms of HTTP."""
+    """A backend's response, expressed as an HTTP status and body."""
 
     status: int
     never_started: bool
-    member: bytes  # `result` or `error`, as it goes to the client
-    in_flight: float | None  # its load report
+    member: bytes  # `result` or `error`, as written to the client
+    in_flight: float | None  # from the backend's load report
 
 
 class InvalidCallError(Exception):
-    """An invalid call: the code to answer, and the call's id, `null` where none could be read."""
+    """A call is invalid. Has the error code to answer, and the call's id, or `null` if none could be read."""
 
     def __init__(self, code: int, call_id: bytes = b"null") -> None:
         super().__init__(ERROR_MESSAGES[code])
@@ -90,9 +90,9 @@
 
 
 def split_batch(line: bytes) -> tuple[bool, list[bytes]]:
-    """Whether a line is a batch, and its calls, not parsed yet. Raises InvalidCallError."""
+    """Returns whether a line is a batch, and the text of each call. Raises InvalidCallError."""
     try:
-        # Guards against a batch with a fault behind a good call, which would run half: all of it is checked.
+        # The complete line is checked first: otherwise a batch with a later syntax error would run in part.
         text = bytes(RAW_DECODER.decode(line)).strip()
         line.decode("utf-8")
         if not text.startswith(b"["):
@@ -128,19 +128,19 @@
 
 
 def encode_call(call_id: str, method: str, params: bytes) -> bytes:
-    """The line of a call to a backend, under an id of the node's own."""
+    """Returns the line of a call to a backend, with an id assigned by this node."""
     params_member = b',"params":' + params if params else b""
     name = msgspec.json.encode(method)
     return b'{"jsonrpc":"2.0","id":"%b","method":%b%b}\n' % (call_id.encode(), name, params_member)
 
 
 def encode_response(call_id: bytes, member: bytes) -> bytes:
-    """A response to a client; `member`: `result` or `error` with its key."""
+    """Returns a response to a client. `member`: `result` or `error` with its key."""
     return b'{"jsonrpc":"2.0",%b,"id":%b}' % (member, call_id)
 
 
 def encode_error_member(code: int, data: dict | None = None) -> bytes:
-    """The member `error` with its key."""
+    """Returns the member `error` with its key."""
     error = {"code": code, "message": ERROR_MESSAGES[code]} | ({"data": data} if data else {})
     return b'"error":' + msgspec.json.encode(error)
 
@@ -148,18 +148,18 @@
 def parse_response(line: bytes, expected_id: str) -> BackendResponse:
     """Parses a backend's response to the call `expected_id`.
 
-    Raises ValueError for anything else: another call's response, a late one, noise.
+    Raises ValueError for anything else: another call's response, a late response, invalid JSON.
     """
     try:
         response = RESPONSE_DECODER.decode(line)
         line.decode("utf-8")
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
-        raise ValueError(f"no response: {error}") from None
+        raise ValueError(f"expected a JSON-RPC response: {error}") from None
     if response.jsonrpc != "2.0" or response.id != expected_id:
-        raise ValueError(f"id {response.id!r} where {expected_id!r} was asked")
+        raise ValueError(f"expected id {expected_id!r}, got {response.id!r}")
     result, error = bytes(response.result), bytes(response.error)
     if bool(result) == bool(error):
-        raise ValueError("not one of result and error")
+        raise ValueError("expected exactly one of result and error")
     in_flight = response.load.in_flight if response.load is not None else None
     if result:
         return BackendResponse(200, False, b'"result":' + result, in_flight)
@@ -167,13 +167,13 @@
 
 
 def parse_error(text: bytes, in_flight: float | None) -> BackendResponse:
-    """A response with the member `error`. Raises ValueError where that is invalid."""
+    """Parses the member `error` of a backend's response. Raises ValueError if it is invalid."""
     try:
         error = ERROR_DECODER.decode(text)
     except (msgspec.DecodeError, RecursionError):
-        raise ValueError("an error without code or message") from None
+        raise ValueError("expected an error with code and message") from None
     member = b'"error":' + text
     if error.code in SERVER_ERRORS or error.code == INTERNAL_ERROR:
         never_started = isinstance(error.data, dict) and error.data.get("not_started") is True
         return BackendResponse(503 if never_started else 500, never_started, member, in_flight)
-    return BackendResponse(200, False, member, in_flight)  # the method's own error is its response
+    return BackendResponse(200, False, member, in_flight)  # An error of the method itself is its response.
--- a/basalthoist/jsonrpc/upstream.py
+++ b/basalthoist/jsonrpc/upstream.py
@@ -1,4 +1,4 @@
-"""Calls to backends that speak JSON-RPC, one at a time on each connection."""
+"""Calls to backends over JSON-RPC, one at a time on each connection."""
 
 import socket
 from typing import TYPE_CHECKING
@@ -15,7 +15,7 @@
 
 
 class CallLine(list):
-    """A call as the chunks to be written, one line, with the id that its response must have."""
+    """A call as a list of chunks to write, which is one line, with the id expected in the response."""
 
     def __init__(self, call_id: str, method: str, params: bytes) -> None:
         super().__init__([encode_call(call_id, method, params)])
@@ -23,26 +23,26 @@
 
 
 class LineReader:
-    """`Reader` for lines: has the same methods and returns the HTTP message that means the same."""
+    """Reads response lines. Has the methods of `Reader`, and returns the corresponding HTTP messages."""
 
     def __init__(self, max_line_bytes: int) -> None:
         self.max_line_bytes: int = max_line_bytes
         self.pending: bytes = b""
-        self.expected_id: str = ""  # of the call in progress
+        self.expected_id: str = ""  # id of the call in progress
         self.on_head = None
         self.came_at: int = 0
 
     def idle(self) -> bool:
-        """Whether nothing of a line has come."""
+        """Whether no part of a line has been received."""
         return not self.pending
 
     def feed(self, data: bytes, now: int) -> None:
-        """Takes what the connection has read."""
+        """Adds data that the connection has read at `now`."""
         self.pending = self.pending + data if self.pending else data
         self.came_at = now
 
     def next(self) -> Message | None:
-        """The next response. Raises BadMessage."""
+        """Returns the next response, or None until its line is complete. Raises BadMessage."""
         end = self.pending.find(b"\n")
         if (end if end >= 0 else len(self.pending)) > self.max_line_bytes:
             raise BadMessage(502, "a line too long")
@@ -64,11 +64,11 @@
         return message
 
     def has_body_of_unknown_length(self) -> bool:
-        """A line ends by its newline alone."""
+        """Returns False: a response ends at its newline."""
         return False
 
     def end(self) -> None:
-        """The end of a connection completes no response."""
+        """Returns None: the end of a connection completes no response."""
         return None
 
 
@@ -80,14 +80,14 @@
         self.reader: LineReader = LineReader(pool.upstream.limits.body_bytes)
 
     def chunks_to_write(self, call: Call) -> CallLine:
-        """The call's line; its id is expected in the response."""
+        """Returns the call's line, and expects its id in the response."""
         line = call.request_chunks()
         self.reader.expected_id = line.call_id
         return line
 
 
 class JsonProxiedRequest(ProxiedRequest):
-    """The request of a JSON-RPC call. Each attempt has its own id, so that a late response matches none."""
+    """The request of a JSON-RPC call. Each attempt has its own id, so that a late response is recognized."""
 
     __slots__ = ("method", "params")
 
@@ -97,5 +97,5 @@
         self.params: bytes = params
 
     def request_chunks(self, attempt_number: int, until: int, extra_headers: bytes = b"") -> CallLine:
-        """The call of an attempt."""
+        """Returns the line of an attempt's call."""
         return CallLine(f"{self.id}.{attempt_number}", self.method, self.params)
--- a/basalthoist/shadow.py
+++ b/basalthoist/shadow.py
@@ -23,7 +23,7 @@
 HEALTH_CHECK_OR_GOSSIP = "health check or gossip"
 KINDS = (ANOTHER_BACKEND, SEND_OR_HOLD, SHED_OR_SEND, RETRY, CANCEL, HEALTH_CHECK_OR_GOSSIP)
 FINAL_ACTIONS = ("shed", "fail")
-LATE_WAKE = 20  # tenths of a millisecond; a timer of the shadow that is later than this runs at the next event
+LATE_WAKE = 20  # tenths of a millisecond; a timer of the shadow overdue by more runs at the next event
 
 
 class Decision(NamedTuple):
--- a/basalthoist/start.py
+++ b/basalthoist/start.py
@@ -40,8 +40,8 @@
 
 def serve_by(log_format: LogFormat | None = None) -> int:
     """Runs the node that PROXY_CONFIG configures until a shutdown signal. Returns the exit code."""
-    # Guards against a SIGHUP before the node exists, which would end the process, or be lost once the file has
-    # been read. The handler is installed before the imports, which take most of the start.
+    # Guards against a SIGHUP before the node exists, which would end the process, or be lost once the files
+    # have been read. The handler is installed before the imports, which take most of the start.
     hangups: list[bool] = []
     signal.signal(signal.SIGHUP, lambda *_: hangups.append(True))
     # No object of the start becomes garbage; the collector took a tenth of the start's processor time.
