--- a/basalthoist/commands/__init__.py
+++ b/basalthoist/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The command line for own installations and experiments; the platform's node starts without it."""
+"""The command line for local installations and experiments. The platform starts its nodes without it."""
--- a/basalthoist/commands/cli.py
+++ b/basalthoist/commands/cli.py
@@ -1,4 +1,4 @@
-"""`python -m basalthoist COMMAND`: the group of all commands. A node that is started plainly loads none."""
+"""`python -m basalthoist COMMAND`: the group of all commands. A node started without a command loads none."""
 
 import click
 
@@ -35,8 +35,8 @@
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def main() -> None:
-    """A reverse proxy that spreads requests by measured latency profiles. Without a command it serves as the
-    platform starts it, by PROXY_CONFIG."""
+    """A reverse proxy that distributes requests by measured latency profiles. Without a command it runs a
+    node with the configuration that PROXY_CONFIG names, as the platform starts it."""
 
 
 for command in COMMANDS:
--- a/basalthoist/commands/distribute.py
+++ b/basalthoist/commands/distribute.py
@@ -1,4 +1,4 @@
-"""`python -m basalthoist distribute`: the distribution at full size, and its tables anew."""
+"""`distribute`: experiments with versioned distribution at full size, and reports on their results."""
 
 import sys
 from pathlib import Path
@@ -17,13 +17,13 @@
     type=click.FloatRange(min=0.1, max=100),
     default=1.0,
     show_default=True,
-    help="Hundredths of 2,000 services, 11,000 routes, 32,000 backends, 200,000 tenants.",
+    help="Catalogue size in percent of 2,000 services, 11,000 routes, 32,000 backends, 200,000 tenants.",
 )
 @click.option("--part", type=click.Choice(["steady", "faults", "behind"]), default="steady")
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--into", type=click.Path(path_type=Path), default=Path("distributed"), show_default=True)
 @click.option("--limit", type=click.FloatRange(min=30, max=900), default=300.0, help="Seconds.")
-@click.option("--report", type=click.Path(path_type=Path), help="Only tables and charts anew, from FOLDER.")
+@click.option("--report", type=click.Path(path_type=Path), help="Only remake tables and charts from FOLDER.")
 def distribute(
     nodes: int,
     machines: int,
@@ -35,16 +35,16 @@
     limit: float,
     report: Path | None,
 ) -> None:
-    """Tell a catalogue to hollow nodes by relays on loopback, change it, and break control meanwhile.
+    """Distribute a catalogue to hollow nodes through relays on loopback, and change it under injected faults.
 
-    Machines set aside are real processes. Raw results stay in the folder; the exit code is 1 where a phase is
-    void, since the tool itself was late, or one failed."""
+    Relays are real processes. Raw results stay in the folder. The exit code is 1 if a phase failed or is void
+    because the tool itself was late."""
     from basalthoist.experiments.distributed import play, reporting
     from basalthoist.experiments.distributed.sizes import Size
 
     if report is not None:
         if not list(report.glob("*.json")):
-            fail(f"--report: {report}: no raw results")
+            fail(f"--report: {report}: expected raw results in *.json files, got none")
         return click.echo(reporting.write(report))
     if voters > machines:
         fail(f"--voters: expected at most {machines} machines, got {voters}")
@@ -56,5 +56,5 @@
     for name in void:
         click.echo(f"void: {name}")
     for line in result["wrong_lines"]:
-        click.echo(f"went wrong: {line}")
+        click.echo(f"failed check: {line}")
     sys.exit(FAILED if void or "failed" in result or result["wrong_lines"] else 0)
--- a/basalthoist/commands/emulation.py
+++ b/basalthoist/commands/emulation.py
@@ -1,4 +1,4 @@
-"""`emulate`, `search`: scenarios in simulated time."""
+"""`emulate`, `search`: run scenarios in simulated time."""
 
 import sys
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 
 
 def policy_named(name: str) -> Callable:
-    """What makes the decisions of a node by that policy; ends the command where there is none."""
+    """Returns the factory of a policy's balancer. Ends the command if there is no such policy."""
     from basalthoist.emulator.baselines import POLICIES
 
     if name not in POLICIES:
@@ -23,11 +23,11 @@
 @click.command()
 @click.argument("scenario", type=click.Path(path_type=Path))
 @click.option("--policy", default="node", show_default=True)
-@click.option("--seed", type=int, help="Instead of the scenario's.")
-@click.option("--json", "as_json", is_flag=True, help="Print the whole report.")
-@click.option("--log", is_flag=True, help="Print what the nodes logged.")
+@click.option("--seed", type=int, help="Seed; default: that of the scenario.")
+@click.option("--json", "as_json", is_flag=True, help="Print the complete report.")
+@click.option("--log", is_flag=True, help="Print the log lines of the nodes.")
 def emulate(scenario: Path, policy: str, seed: int | None, as_json: bool, log: bool) -> None:
-    """Play one SCENARIO in simulated time. Exit code 1 where a rule is broken."""
+    """Run SCENARIO in simulated time. The exit code is 1 if a rule is broken."""
     from basalthoist.emulator.fleet import Fleet
     from basalthoist.emulator.scenario import read
 
@@ -48,16 +48,16 @@
 
 
 def print_report(report: dict, policy: str) -> None:
-    """Prints the figures of a play by `policy` and which rules it broke."""
+    """Prints the figures of a run with `policy` and the rules that it broke."""
     figures, counts = report["figures"], report["counts"]
-    played = f"{report['scenario']} by {policy}, seed {report['seed']}"
-    click.echo(f"{played}: {figures['offered']} exchanges")
+    run = f"{report['scenario']} by {policy}, seed {report['seed']}"
+    click.echo(f"{run}: {figures['offered']} requests")
     shares = "  ".join(f"{name} {figures[name]:.1%}" for name in ("in_time", "late", "shed", "failed"))
     click.echo(f"kept {figures['kept']:.1%}  worst route {figures['worst_route']:.1%}  {shares}")
     click.echo("  ".join(f"{name[:-3]} {figures[name]:.1f} ms" for name in ("p50_ms", "p95_ms", "p99_ms")))
     sends = max(counts["sends"], 1)
     each = ("probes", "words", "connections")
-    click.echo("per send: " + "  ".join(f"{name} {counts[name] / sends:.2f}" for name in each))
+    click.echo("per attempt: " + "  ".join(f"{name} {counts[name] / sends:.2f}" for name in each))
     for rule, times in report["rules"].items():
         click.echo(f"rule {rule}: {'kept' if not times else f'broken {times} times'}")
     for breaks in report["breaks"].values():
@@ -71,7 +71,7 @@
 @click.option("--policy", default="node", show_default=True)
 @click.option("--into", type=click.Path(path_type=Path), default=Path("found"), show_default=True)
 def search(scenario: Path, days: int, seed: int, policy: str, into: Path) -> None:
-    """Combine faults at random on the fleet of SCENARIO; a day that breaks a rule is shrunk and kept."""
+    """Combine faults at random on the fleet of SCENARIO. A day that breaks a rule is minimized and saved."""
     from basalthoist.emulator.scenario import read
     from basalthoist.emulator.search import search as search_days
 
--- a/basalthoist/commands/experiments.py
+++ b/basalthoist/commands/experiments.py
@@ -1,4 +1,4 @@
-"""`experiment`, `report`, `compare`: plans of many runs, and what comes of their raw results."""
+"""`experiment`, `report`, `compare`: plans of many runs, and reports on their raw results."""
 
 from pathlib import Path
 
@@ -12,11 +12,14 @@
 @click.command()
 @click.argument("plan", type=click.Path(path_type=Path))
 @click.option(
-    "--into", type=click.Path(path_type=Path), required=True, help="Folder for results; finished runs stay."
+    "--into",
+    type=click.Path(path_type=Path),
+    required=True,
+    help="Folder for results; finished runs in it are not repeated.",
 )
 @click.option("--processes", type=click.IntRange(min=1))
 def experiment(plan: Path, into: Path, processes: int | None) -> None:
-    """Carry out the runs of a PLAN in parallel and report on them."""
+    """Execute the runs of a PLAN in parallel and report on them."""
     from basalthoist.experiments.plan import read
     from basalthoist.experiments.reporting import write_report
     from basalthoist.experiments.running import RunError, carry_out_all
@@ -35,7 +38,7 @@
 @click.command()
 @click.argument("folder", type=click.Path(path_type=Path))
 def report(folder: Path) -> None:
-    """Make tables and charts again from the raw results in FOLDER."""
+    """Remake tables and charts from the raw results in FOLDER."""
     from basalthoist.experiments.reporting import write_report
     from basalthoist.experiments.running import RunError
 
@@ -52,7 +55,7 @@
 @click.option("--figure", default="kept", show_default=True)
 @click.option("--policy")
 def compare(one: Path, other: Path, figure: str, policy: str | None) -> None:
-    """Paired differences ONE minus OTHER on the seeds that both folders have."""
+    """Print the paired differences ONE minus OTHER over the seeds that both folders have."""
     from basalthoist.experiments.reporting import compare as differences
     from basalthoist.experiments.running import RunError
 
@@ -63,4 +66,4 @@
     except RunError as error:
         fail(error)
     except KeyError as error:
-        fail(f"--figure: no figure {error}")
+        fail(f"--figure: expected a figure of the results, got {error}")
--- a/basalthoist/commands/loopback.py
+++ b/basalthoist/commands/loopback.py
@@ -1,4 +1,4 @@
-"""`load`, `sites`, `protocols`, `starts`: real processes on loopback."""
+"""`load`, `sites`, `protocols`, `starts`: experiments with real processes on loopback."""
 
 import asyncio
 from pathlib import Path
@@ -15,7 +15,7 @@
 @click.option("--seconds", type=click.FloatRange(min=1), default=10.0, show_default=True)
 @click.option("--json", "as_json", is_flag=True)
 def load(scenario: Path, seconds: float, as_json: bool) -> None:
-    """Play a small SCENARIO on loopback: real nodes, scripted backends and discovery, open-loop clients."""
+    """Run a small SCENARIO on loopback: real nodes, scripted backends and discovery, open-loop clients."""
     from basalthoist.emulator.scenario import read
     from basalthoist.experiments.loopback import play
 
@@ -32,7 +32,7 @@
     else:
         for name, figure in result["figures"].items():
             click.echo(f"{name}: {figure:.4g}")
-        click.echo(f"the tool's own lateness: p99 {result['lateness_p99_ms']:.2f} ms")
+        click.echo(f"lateness of the load generator: p99 {result['lateness_p99_ms']:.2f} ms")
     if result["void"]:
         fail(f"void: {result['void']}", FAILED)
 
@@ -42,20 +42,22 @@
 @click.option("--delay-ms", type=click.FloatRange(min=0), default=10.0, show_default=True, help="One way.")
 @click.option("--rate", type=click.FloatRange(min=1), default=60.0, show_default=True, help="At each site.")
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--fault", type=click.Choice(["none", "cut"]), default="none", help="On top: the link is cut.")
+@click.option(
+    "--fault", type=click.Choice(["none", "cut"]), default="none", help="Fault to inject: cut the link."
+)
 @click.option("--json", "as_json", is_flag=True)
 def sites(seconds: float, delay_ms: float, rate: float, seed: int, fault: str, as_json: bool) -> None:
-    """Two sites on loopback: one's backends go for a third of the time; with and without the gateway."""
-    from basalthoist.experiments import sites as plays
+    """Run two sites with and without the gateway. One loses its backends for a third of the time."""
+    from basalthoist.experiments import sites as site_runs
 
     results = {}
     for name, linked in (("alone", False), ("gateway", True)):
         try:
-            results[name] = plays.play(linked, seconds, delay_ms, rate, seed, fault)
+            results[name] = site_runs.play(linked, seconds, delay_ms, rate, seed, fault)
         except (OSError, RuntimeError) as error:
             fail(error, FAILED)
         if not as_json:
-            click.echo("\n".join(plays.said(results[name], name)))
+            click.echo("\n".join(site_runs.said(results[name], name)))
     if as_json:
         print_json(results)
     for name, result in results.items():
@@ -65,9 +67,15 @@
 @click.command()
 @click.option("--pairs", type=click.IntRange(min=2), default=5, show_default=True)
 @click.option("--seconds", type=click.FloatRange(min=3), default=9.0, show_default=True)
-@click.option("--rate", type=click.FloatRange(min=1), default=100.0, show_default=True, help="Then doubled.")
+@click.option(
+    "--rate",
+    type=click.FloatRange(min=1),
+    default=100.0,
+    show_default=True,
+    help="Doubled in the middle third.",
+)
 def protocols(pairs: int, seconds: float, rate: float) -> None:
-    """JSON-RPC against HTTP on loopback, interleaved; the middle third has twice the traffic."""
+    """Compare JSON-RPC with HTTP on loopback in interleaved runs. The rate doubles in the middle third."""
     from basalthoist.experiments.protocols import compare
 
     try:
@@ -80,25 +88,33 @@
 
 
 def fail_if_invalid(name: str, result: dict) -> None:
-    """Ends the command where a run is void, or a request ran twice in it."""
+    """Ends the command if a run is void, or if a request ran twice in it."""
     if result["void"]:
         fail(f"{name}: void: {result['void']}", FAILED)
     if result["ran_twice"]:
-        fail(f"{name}: {result['ran_twice']} exchanges ran twice", FAILED)
+        fail(f"{name}: {result['ran_twice']} requests ran twice", FAILED)
 
 
 @click.command()
-@click.option("--count", type=click.IntRange(min=1), default=200, show_default=True, help="Nodes at once.")
-@click.option("--busy", type=click.IntRange(min=0), default=40, show_default=True, help="Busy loops beside.")
+@click.option(
+    "--count", type=click.IntRange(min=1), default=200, show_default=True, help="Nodes started at once."
+)
+@click.option(
+    "--busy",
+    type=click.IntRange(min=0),
+    default=40,
+    show_default=True,
+    help="Busy loops that compete for the processor.",
+)
 @click.option(
     "--program",
     type=click.Path(path_type=Path, exists=True),
     default=Path(),
     show_default=True,
-    help="Folder that is started, by its deploy/balancer.toml.",
+    help="Folder of the program to start, by its deploy/balancer.toml.",
 )
 def starts(count: int, busy: int, program: Path) -> None:
-    """Start COUNT nodes at once, without and with busy loops beside, and say how long until each is ready."""
+    """Start COUNT nodes at once, without and with busy loops, and print how long each takes to be ready."""
     from basalthoist.experiments.starts import play, said
 
     for loops in (0, busy) if busy else (0,):
--- a/basalthoist/commands/output.py
+++ b/basalthoist/commands/output.py
@@ -1,4 +1,4 @@
-"""What all commands share: how one fails, and where a finding is saved."""
+"""Helpers for all commands: errors, JSON output, and files of findings."""
 
 import sys
 from pathlib import Path
@@ -7,12 +7,12 @@
 import click
 import msgspec
 
-INVALID_INPUT = 2  # exit code: a file or an option
-FAILED = 1  # exit code: what was carried out
+INVALID_INPUT = 2  # exit code for an invalid file or option
+FAILED = 1  # exit code for a failed run
 
 
 def fail(reason: object, code: int = INVALID_INPUT) -> NoReturn:
-    """Ends the command with a line on standard error."""
+    """Prints the reason on standard error and exits with `code`."""
     click.echo(f"basalthoist: {reason}", err=True)
     sys.exit(code)
 
@@ -23,7 +23,7 @@
 
 
 def save_finding(folder: Path, name: str, finding: msgspec.Struct) -> Path:
-    """Writes what a search has found, with its `seed`, as the file that plays it again."""
+    """Writes a search's finding to a TOML file, from which it can be run again. Returns the path."""
     from .toml import as_toml
 
     path = folder / f"{name}-{finding.seed}.toml"
--- a/basalthoist/commands/reference.py
+++ b/basalthoist/commands/reference.py
@@ -1,4 +1,4 @@
-"""The page that lists every key of the configuration, made from the types that check it."""
+"""Generates docs/configuration.md, which lists all configuration keys, from the types that check them."""
 
 import msgspec
 
@@ -49,7 +49,7 @@
 
 
 def range_of(kind: msgspec.inspect.Type) -> str:
-    """The bounds of a key's value, as the page gives them."""
+    """Returns the bounds of a key's value as text for the page."""
     bounds = []
     for name, sign in (("gt", ">"), ("ge", ">="), ("lt", "<"), ("le", "<="), ("min_length", "length >=")):
         if (bound := getattr(kind, name, None)) is not None:
@@ -58,7 +58,7 @@
 
 
 def name_of(kind: msgspec.inspect.Type) -> str:
-    """The type of a key's value, as the page names it."""
+    """Returns the name of the type of a key's value for the page."""
     if isinstance(kind, msgspec.inspect.ListType):
         return f"list of {name_of(kind.item_type)}"
     if isinstance(kind, msgspec.inspect.StructType):
@@ -67,7 +67,7 @@
 
 
 def default_of(field: msgspec.inspect.Field) -> str:
-    """What a key counts as where the file leaves it out."""
+    """Returns the default value of a key for the page, or "required"."""
     if field.required:
         return "required"
     if field.default is not msgspec.NODEFAULT:
@@ -76,7 +76,7 @@
 
 
 def page() -> str:
-    """The whole page, Markdown."""
+    """Returns the complete page as Markdown."""
     lines = [HEAD]
     for title, document in PARTS:
         lines += [f"## {title}", "", "| key | type | default | range |", "| --- | --- | --- | --- |"]
--- a/basalthoist/commands/serving.py
+++ b/basalthoist/commands/serving.py
@@ -1,4 +1,4 @@
-"""`serve`, `relay`, `check`: a node or a relay by its file."""
+"""`serve`, `relay`, `check`: run a node or a relay with a configuration file, or check a file."""
 
 import os
 import sys
@@ -12,10 +12,10 @@
 @click.command()
 @click.argument("configuration", type=click.Path(path_type=Path))
 @click.option(
-    "--log", type=click.Choice(["plain", "json", "console"]), default="plain", help="Form of log lines."
+    "--log", type=click.Choice(["plain", "json", "console"]), default="plain", help="Format of log lines."
 )
 def serve(configuration: Path, log: str) -> None:
-    """Serve by a CONFIGURATION file, JSON or TOML."""
+    """Run a node with a CONFIGURATION file, JSON or TOML."""
     from basalthoist.start import serve_by
 
     os.environ["PROXY_CONFIG"] = str(configuration)
@@ -30,7 +30,7 @@
 @click.command()
 @click.argument("file", type=click.Path(path_type=Path))
 def relay(file: Path) -> None:
-    """Run a machine set aside for control by FILE, TOML: a relay, and where it votes an author."""
+    """Run a relay with FILE, TOML. A relay that is a voter can be elected leader (author)."""
     import uvloop
 
     from basalthoist.configuration import ConfigurationError, load_relay
@@ -49,7 +49,7 @@
 
 @click.command()
 @click.argument("configuration", type=click.Path(path_type=Path), required=False)
-@click.option("--reference", is_flag=True, help="Print the page that lists every key instead.")
+@click.option("--reference", is_flag=True, help="Print the page that lists all keys instead.")
 def check(configuration: Path | None, reference: bool) -> None:
     """Check a CONFIGURATION file without starting anything."""
     from basalthoist.configuration import ConfigurationError, load
@@ -59,14 +59,14 @@
 
         return click.echo(page(), nl=False)
     if configuration is None:
-        fail("check: a file, or --reference")
+        fail("check: expected a file or --reference, got neither")
     try:
-        found = load({"PROXY_CONFIG": str(configuration)})
+        checked = load({"PROXY_CONFIG": str(configuration)})
     except ConfigurationError as error:
         fail(f"{configuration}: {error}")
-    host, port = found.listen
-    backends = len(found.known.endpoints)
+    host, port = checked.listen
+    backends = len(checked.known.endpoints)
     click.echo(
-        f"{configuration}: good; {found.name} listens on {host}:{port}, "
-        f"{len(found.routes)} routes, {backends} backends known"
+        f"{configuration}: valid; {checked.name} listens on {host}:{port}, "
+        f"{len(checked.routes)} routes, {backends} backends known"
     )
--- a/basalthoist/commands/soak.py
+++ b/basalthoist/commands/soak.py
@@ -1,4 +1,4 @@
-"""`python -m basalthoist soak`: seeded plays of one node up to its kill, judged by the rules."""
+"""`soak`: soak tests of one node up to its kill, generated from seeds and checked against the rules."""
 
 import sys
 from concurrent.futures import ThreadPoolExecutor
@@ -8,19 +8,23 @@
 
 from .output import FAILED, fail
 
-MOST_BREAKS = 10  # that are printed of a play
+MAX_PRINTED_BREAKS = 10  # per run
 
 
 @click.command()
-@click.option("--seeds", type=click.IntRange(min=1), default=50, show_default=True, help="How many plays.")
+@click.option("--seeds", type=click.IntRange(min=1), default=50, show_default=True, help="Number of runs.")
 @click.option("--first", type=int, default=1, show_default=True, help="The first seed.")
 @click.option("--side-by-side", type=click.IntRange(min=1, max=8), default=2, show_default=True)
-@click.option("--quiet", type=click.FloatRange(min=0), default=0.0, help="Seconds without a request before.")
-@click.option("--broken", default="", help="A variant of the program that breaks a rule, to be found.")
-@click.option("--log", is_flag=True, help="Print what the node logged where a rule is broken.")
+@click.option(
+    "--quiet", type=click.FloatRange(min=0), default=0.0, help="Seconds without requests before the load."
+)
+@click.option("--broken", default="", help="Variant of the program that breaks a rule, to test the checks.")
+@click.option("--log", is_flag=True, help="Print the node's log if a rule is broken.")
 def soak(seeds: int, first: int, side_by_side: int, quiet: float, broken: str, log: bool) -> None:
-    """Play seeded troubles on a real node up to SIGKILL at the page's earliest. Exit code 1 where a rule is
-    broken: its seed, the request's id and its way are printed, and the seed plays it again."""
+    """Inject faults generated from a seed into a real node, ended by SIGKILL as early as the platform can.
+
+    The exit code is 1 if a rule is broken. The seed, the request's id and its path are printed; the seed
+    reproduces the run."""
     from basalthoist.experiments.soak.broken import VARIANTS
     from basalthoist.experiments.soak.plan import drawn
     from basalthoist.experiments.soak.playing import play
@@ -33,11 +37,11 @@
         for result in pool.map(lambda plan: play(plan, broken), plans):
             click.echo(result.line())
             failed += bool(result.breaks)
-            for found in result.breaks[:MOST_BREAKS]:
-                click.echo(f"  {found.rule} {found.ident}: {found.what}")
+            for breach in result.breaks[:MAX_PRINTED_BREAKS]:
+                click.echo(f"  {breach.rule} {breach.ident}: {breach.what}")
             for ident, path in result.paths.items():
                 click.echo(f"  {ident}\n    " + "\n    ".join(path))
-            crashed = any(found.rule == "crash" for found in result.breaks)
+            crashed = any(breach.rule == "crash" for breach in result.breaks)
             if crashed or result.breaks and log:
                 click.echo(result.log)
     click.echo(f"{seeds} seeds from {first}: {seeds - failed} kept every rule, {failed} did not")
--- a/basalthoist/commands/structured.py
+++ b/basalthoist/commands/structured.py
@@ -1,4 +1,4 @@
-"""Structured log lines for own installations; the platform's node keeps its plain, rate-limited ones."""
+"""Structured log lines for local installations. The platform's nodes write plain, rate-limited lines."""
 
 import sys
 from typing import TYPE_CHECKING, Any
@@ -10,7 +10,7 @@
 
 
 class StructuredLog:
-    """Made before the node is known; `bind` puts it behind the node's log."""
+    """Formats log lines as JSON or for a console, once `bind` has connected it to a node's log."""
 
     def __init__(self, form: str) -> None:
         renderer = structlog.dev.ConsoleRenderer(colors=False)
@@ -23,7 +23,7 @@
         )
 
     def bind(self, log: "Log") -> None:
-        """Lines go on being counted and held back by `log`; only their form changes."""
+        """Replaces the format of `log`'s lines. `log` still counts and rate-limits them."""
         logger = self.logger.bind(node=log.name)
 
         def write(line: str) -> None:
--- a/basalthoist/jsonrpc/client_connection.py
+++ b/basalthoist/jsonrpc/client_connection.py
@@ -27,7 +27,7 @@
 if TYPE_CHECKING:
     from .front_end import JsonRpcFrontEnd
 
-# A call that waited longer, in tenths of a millisecond, checks that its client is connected before an attempt.
+# Tenths of a millisecond. A call that waited longer checks that its client is connected before an attempt.
 QUEUED_AFTER = 10
 
 
@@ -45,8 +45,8 @@
     def has_disconnected(self) -> bool:
         """Whether the client has disconnected.
 
-        A call that was queued or attempted checks that its client still waits. A client that sent a notification waits for no
-        response and may have closed its sending direction.
+        A queued or attempted call checks that its client still waits. A client that sent a notification may
+        close without having disconnected, since it waits for no response.
         """
         was_queued = self.request.calls or now() - self.request.came_at > QUEUED_AFTER
         return (
