--- a/basalthoist/commands/fleet.py
+++ b/basalthoist/commands/fleet.py
@@ -88,9 +88,7 @@
     for line in broken:
         click.echo(f"broken: {line}")
     if not broken:
-        click.echo(
-            "held: no attempt at a banned backend after SUCCESS or beyond the bound; all nodes on one version at the end"
-        )
+        click.echo("held: no attempt at a banned backend after SUCCESS or the bound, one version at the end")
 
 
 def print_cost(pairs: int) -> None:
