--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""Imports between the modules of the package run one way."""
+"""Checks the imports between the modules of the package: no cycles, and no forbidden dependencies."""
 
 import ast
 from graphlib import TopologicalSorter
@@ -9,8 +9,8 @@
 ROOT = Path(__file__).parent.parent
 PACKAGE = ROOT / "basalthoist"
 RANDOM_NUMBERS = "basalthoist.decisions.random_numbers"
-# What a package may import besides its own modules; the I/O-free ones never reach the network code.
-ALLOWED = {
+# What each package without I/O may import besides its own modules.
+ALLOWED_IMPORTS = {
     "decisions": (),
     "message_envelope": (),
     "addresses": (),
@@ -30,8 +30,8 @@
 PATHS = {module_name(path): path for path in sorted(PACKAGE.rglob("*.py"))}
 
 
-def for_types_alone(tree):
-    """The nodes below `if TYPE_CHECKING`."""
+def type_checking_nodes(tree):
+    """Returns the nodes below `if TYPE_CHECKING`."""
     guarded = [
         node for node in ast.walk(tree) if isinstance(node, ast.If) and "TYPE_CHECKING" in ast.dump(node.test)
     ]
@@ -39,7 +39,7 @@
 
 
 def imported_names(module, node):
-    """The dotted names that an import statement of a module names."""
+    """Returns the dotted names in an import statement of a module."""
     if isinstance(node, ast.Import):
         return [alias.name for alias in node.names]
     if not isinstance(node, ast.ImportFrom):
@@ -53,9 +53,9 @@
 
 
 def imports_of(module):
-    """The modules of the package that a module imports, at its top or within functions."""
+    """Returns the modules of the package that a module imports, at its top level or within functions."""
     tree = ast.parse(PATHS[module].read_text())
-    skipped = for_types_alone(tree)
+    skipped = type_checking_nodes(tree)
     names = [name for node in ast.walk(tree) if node not in skipped for name in imported_names(module, node)]
     found = {name if name in PATHS else name.rpartition(".")[0] for name in names}
     return {name for name in found if name in PATHS and name != module}
@@ -64,26 +64,26 @@
 GRAPH = {module: imports_of(module) for module in PATHS}
 
 
-def test_no_modules_import_each_other():
-    """Guards against circles, which make the order of imports matter and no module readable alone."""
+def test_imports_have_no_cycle():
+    """Guards against cycles, with which the order of imports matters and no module can be read alone."""
     TopologicalSorter(GRAPH).prepare()
 
 
-@pytest.mark.parametrize(("package", "allowed"), ALLOWED.items())
-def test_packages_without_io_import_no_others(package, allowed):
-    """Guards against decisions that reach out by themselves, past the host that the tests replace."""
+@pytest.mark.parametrize(("package", "allowed"), ALLOWED_IMPORTS.items())
+def test_package_without_io_imports_only_allowed_modules(package, allowed):
+    """Guards against decision code that does I/O itself, past the host that the tests replace."""
     own = f"basalthoist.{package}"
     for module in PATHS:
         if module == own or module.startswith(own + "."):
-            odd = [
+            forbidden = [
                 name
                 for name in GRAPH[module]
                 if not name.startswith((own, *allowed)) and name != "basalthoist"
             ]
-            assert odd == [], module
+            assert forbidden == [], module
 
 
-def test_what_serves_never_imports_the_tools():
+def test_node_does_not_import_the_tools():
     """Guards against a node that needs the libraries of the emulator or the experiments."""
     tools = tuple(f"basalthoist.{name}" for name in TOOLS)
     for module, imported in GRAPH.items():
@@ -92,7 +92,7 @@
 
 
 def test_configuration_does_not_import_the_network_code():
-    """Guards against a check of a file that opens sockets, and against a circle with what reads it."""
+    """Guards against a configuration check that opens sockets, and against a cycle with the network code."""
     for module, imported in GRAPH.items():
         if module.startswith("basalthoist.configuration"):
             assert [name for name in imported if name.startswith("basalthoist.net")] == [], module
--- a/tests/test_shadow.py
+++ b/tests/test_shadow.py
@@ -1,4 +1,4 @@
-"""The shadow: what other settings would have decided, counted and never carried out."""
+"""Shadow balancer: decisions under other settings are counted and never carried out."""
 
 import json
 import re
@@ -28,10 +28,10 @@
 from basalthoist.shadow import KINDS, Shadow
 
 
-def watched(told, entries):
+def balancer_with_shadow(shadow_settings, entries):
     host = RecordingHost()
     real = Balancer(host, 7, settings(), NOW)
-    shadow = Shadow(real, 7, settings() | told, NOW)
+    shadow = Shadow(real, 7, settings() | shadow_settings, NOW)
 
     def event(name, now, *what):
         getattr(real, name)(now, *what)
@@ -41,25 +41,25 @@
     return host, event, shadow
 
 
-def test_what_is_followed_stands_as_it_does_at_the_real_node():
-    host, event, shadow = watched({}, FLEET)
+def test_followed_request_copies_the_state_of_its_attempts():
+    host, event, shadow = balancer_with_shadow({}, FLEET)
     for ident in (1, 2):
         event("on_request", NOW + 1, ident, 0, 0, 8000, False)
-    taken_for_lost, out = shadow.real.requests[1], shadow.real.requests[2]
-    taken_for_lost.attempts[0].overtaken, taken_for_lost.body_consumed = 2, True
-    taken_for_lost.attempts[0].backend.open_attempts.remove(taken_for_lost.attempts[0])
-    for real in (taken_for_lost, out):
+    lost, in_flight = shadow.real.requests[1], shadow.real.requests[2]
+    lost.attempts[0].overtaken, lost.body_consumed = 2, True
+    lost.attempts[0].backend.open_attempts.remove(lost.attempts[0])
+    for real in (lost, in_flight):
         shadow.follow(real.id, NOW + 2)
-        here = shadow.balancer.requests[real.id]
-        assert (here.body_consumed, here.attempts[0].overtaken) == (
+        copy = shadow.balancer.requests[real.id]
+        assert (copy.body_consumed, copy.attempts[0].overtaken) == (
             real.body_consumed,
             real.attempts[0].overtaken,
         )
-        assert (here.attempts[0] in here.attempts[0].backend.open_attempts) is (real is out)
+        assert (copy.attempts[0] in copy.attempts[0].backend.open_attempts) is (real is in_flight)
 
 
-def a_day(host, event):
-    """Exchanges that complete, one whose backend dies, one client that leaves, one that is held and shed."""
+def run_mixed_outcomes(host, event):
+    """Runs requests that complete, some whose backend resets, and one whose client disconnects."""
     now = NOW
     for ident in range(60):
         now += 100
@@ -79,24 +79,26 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "kind"),
+    ("shadow_settings", "kind"),
     [
         ({}, None),
         ({"prices.cross_zone": 0.5}, "another backend"),
         ({"policy_limits.max_upstream_tries": 1}, "retry"),
     ],
 )
-def test_each_difference_counts_as_its_kind_and_no_other(told, kind):
-    host, event, shadow = watched(told, FLEET)
-    a_day(host, event)
+def test_difference_is_counted_as_its_kind_only(shadow_settings, kind):
+    host, event, shadow = balancer_with_shadow(shadow_settings, FLEET)
+    run_mixed_outcomes(host, event)
     counts = shadow.counts
     assert {k for k in KINDS if counts[k]} == ({kind} if kind else set())
     assert shadow.requests_seen == 61
 
 
-def test_it_follows_and_forgets_what_is_over():
-    host, event, shadow = watched({"prices.cross_zone": 0.5, "policy_limits.max_upstream_tries": 1}, FLEET)
-    a_day(host, event)
+def test_shadow_drops_finished_requests_and_their_attempts():
+    host, event, shadow = balancer_with_shadow(
+        {"prices.cross_zone": 0.5, "policy_limits.max_upstream_tries": 1}, FLEET
+    )
+    run_mixed_outcomes(host, event)
     assert set(shadow.balancer.requests) == set(shadow.real.requests)
     assert not shadow.counted_kinds.keys() - shadow.real.requests.keys()
     for name, backend in shadow.balancer.backends.items():
@@ -105,7 +107,7 @@
 
 @pytest.fixture
 def fleet(tmp_path):
-    """The program with a shadow, before two stand-ins; ended afterwards."""
+    """Starts the program with a shadow and stand-in backends. Ends all afterwards."""
     running = []
 
     def begin(shadow, *behaviours):
@@ -132,19 +134,19 @@
 
 
 @pytest.mark.parametrize("shadow", [None, {"settings": {}}, OTHER])
-def test_clients_see_the_same_with_a_shadow_and_without(fleet, shadow):
+def test_responses_do_not_change_with_a_shadow(fleet, shadow):
     program, backends = fleet(shadow, reply(200, b"1"), reply(200, b"1"))
     answers = [program.ask(request("read", ident=str(i))) for i in range(20)]
     assert [(a.status, a.body) for a in answers] == [("200", b"1")] * 20
-    assert sum(len(b.seen) for b in backends) == 20  # nothing was sent for the shadow
+    assert sum(len(b.seen) for b in backends) == 20  # The shadow sent nothing.
     program.process.terminate()
     assert program.process.wait(10) == 0
     if shadow == {"settings": {}}:
         assert set(counts_in(program.log()).values()) == {0}
 
 
-def test_a_shadow_that_fails_goes_and_loses_no_exchange(fleet):
-    # A rate that is no number passes for a setting, and fails the module when it is first reckoned with.
+def test_failing_shadow_is_switched_off_and_no_request_is_lost(fleet):
+    # A text instead of a number passes the check of settings and raises at its first use in a calculation.
     shadow = {"settings": {"rules": {"fall_multiple": "much"}}}
     program, backends = fleet(shadow, reply(200, b"1"), silent)
     threads = [threading.Thread(target=program.ask, args=(request("read", ident=str(i)),)) for i in range(5)]
@@ -167,6 +169,6 @@
         ({"settings": {"policy_limits": {"probes": 7}}}, "shadow.settings.policy_limits.probes"),
     ],
 )
-def test_faulty_settings_of_the_shadow_are_named(shadow, key):
+def test_error_names_faulty_key_of_shadow_settings(shadow, key):
     with pytest.raises(ConfigurationError, match=re.escape(key)):
         decode(json.dumps(document("127.0.0.1:1", shadow=shadow)).encode(), {})
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""What a start loads and opens: nothing that nobody has asked for, and no source where there is byte code."""
+"""A node's start loads only the modules that it needs, and opens no source file that has byte code."""
 
 import json
 import os
@@ -17,27 +17,27 @@
 ROOT = Path(__file__).parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
 LIBRARIES = ("uvloop", "httptools", "msgspec")
-# Writes down at the end what is loaded and what was opened since the interpreter itself was there.
-WATCHED = """
+# Writes, at exit, the loaded modules and the files opened since the interpreter was initialized.
+RECORDED_START = """
 import json, runpy, sys
 opened = []
-def saw(event, found):
-    if event == "open" and isinstance(found[0], str):
-        opened.append(found[0])
-sys.addaudithook(saw)
+def record(event, arguments):
+    if event == "open" and isinstance(arguments[0], str):
+        opened.append(arguments[0])
+sys.addaudithook(record)
 sys.argv[1:] = []
 import atexit
 atexit.register(lambda: open({path!r}, "w").write(json.dumps([sorted(sys.modules), opened])))
 runpy.run_module("basalthoist", run_name="__main__")
 """
-# What the three libraries, and asyncio with them, need by themselves.
-ALONE = """
+# Prints the modules that the three libraries load by themselves, asyncio included.
+LIBRARIES_ALONE = """
 import json, sys
 sys.path.append({path!r})
 import uvloop, httptools, msgspec
 print(json.dumps(sorted(sys.modules)))
 """
-OWN = {
+OWN_MODULES = {
     "basalthoist",
     "basalthoist.start",
     "basalthoist.configuration",
@@ -116,12 +116,21 @@
         "upstream.upstream",
     )
 }
-# Of the standard library, besides what the libraries need: runpy by `-m`, limits, decisions.
-STANDARD = {"runpy", "importlib.util", "importlib._abc", "resource", "bisect", "_bisect", "zlib", "atexit"}
+# Standard modules that the libraries do not load: runpy for `-m`, others for limits and decisions.
+STANDARD_MODULES = {
+    "runpy",
+    "importlib.util",
+    "importlib._abc",
+    "resource",
+    "bisect",
+    "_bisect",
+    "zlib",
+    "atexit",
+}
 
 
-def environment_of(folder):
-    """A `.venv` of the platform's form, with byte code as `build` makes it, copied with new times after."""
+def make_environment(folder):
+    """Creates a `.venv` like the platform's, with byte code made by `build`, then changes the source times."""
     packages = folder / ".venv/lib" / f"python{sys.version_info.major}.{sys.version_info.minor}/site-packages"
     packages.mkdir(parents=True)
     (folder / ".venv/bin").mkdir()
@@ -134,23 +143,23 @@
     shutil.copytree(
         ROOT / "basalthoist", folder / "basalthoist", ignore=shutil.ignore_patterns("__pycache__")
     )
-    compile_it = DEPLOY["build"].partition(") && ")[2]
-    subprocess.run(["/bin/sh", "-c", compile_it], cwd=folder, check=True, env={"PATH": os.defpath})
+    compile_command = DEPLOY["build"].partition(") && ")[2]
+    subprocess.run(["/bin/sh", "-c", compile_command], cwd=folder, check=True, env={"PATH": os.defpath})
     for source in packages.rglob("*.py"):
         os.utime(source, (1_000_000_000, 1_000_000_000))
     return packages
 
 
 @pytest.fixture(scope="module")
-def started(tmp_path_factory):
-    """What one start has loaded and opened, and what the libraries load alone."""
+def start_record(tmp_path_factory):
+    """Starts a node. Returns the modules it loaded, the files it opened, and what the libraries load alone."""
     folder = tmp_path_factory.mktemp("start")
-    packages = environment_of(folder)
-    found, path = folder / "found.json", folder / "config.json"
+    packages = make_environment(folder)
+    record, path = folder / "record.json", folder / "config.json"
     with closing(DiscoveryStandIn([])) as discovery:
         path.write_text(json.dumps(document(discovery.address)))
         flags = DEPLOY["run"].partition("python ")[2].partition(" -m ")[0].split()
-        command = [folder / ".venv/bin/python", *flags, "-c", WATCHED.format(path=str(found))]
+        command = [folder / ".venv/bin/python", *flags, "-c", RECORDED_START.format(path=str(record))]
         process = subprocess.Popen(command, cwd=folder, env={"PROXY_CONFIG": str(path)})
         try:
             wait_for(lambda: discovery.watches)
@@ -158,9 +167,9 @@
             assert process.wait(10) == 0
         finally:
             process.kill()
-    loaded, opened = json.loads(found.read_text())
+    loaded, opened = json.loads(record.read_text())
     alone = subprocess.run(
-        [folder / ".venv/bin/python", "-B", "-S", "-c", ALONE.format(path=str(packages))],
+        [folder / ".venv/bin/python", "-B", "-S", "-c", LIBRARIES_ALONE.format(path=str(packages))],
         capture_output=True,
         check=True,
         env={},
@@ -168,15 +177,15 @@
     return set(loaded), opened, set(json.loads(alone.stdout)), str(folder)
 
 
-def test_a_start_loads_what_it_was_asked_for_and_nothing_else(started):
-    loaded, _, alone, _ = started
-    assert loaded - alone == OWN | (STANDARD - alone)
+def test_start_loads_no_unneeded_module(start_record):
+    loaded, _, alone, _ = start_record
+    assert loaded - alone == OWN_MODULES | (STANDARD_MODULES - alone)
 
 
-def test_a_start_opens_each_module_once_and_no_source(started):
-    """Guards against byte code that is found stale, as after a copy of the folder."""
-    loaded, opened, _, folder = started
+def test_start_opens_each_module_once_and_no_source(start_record):
+    """Guards against byte code that counts as stale after a copy of the folder changed source times."""
+    loaded, opened, _, folder = start_record
     assert [path for path in opened if path.endswith(".py")] == []
-    ours = [path for path in opened if path.startswith(folder)]
-    assert len(ours) == len(set(ours))
+    own_paths = [path for path in opened if path.startswith(folder)]
+    assert len(own_paths) == len(set(own_paths))
     assert len(opened) <= len(loaded)
