--- a/basalthoist/commands/fleet.py
+++ b/basalthoist/commands/fleet.py
@@ -95,8 +95,8 @@
     """Measures the cost of a fleet at its nodes."""
     from basalthoist.experiments.cluster import cost
 
-    click.echo(f"a request spends {cost.on_the_path():.2f} us to check that its node may forward")
-    click.echo(f"a change of 4096 verdicts takes {cost.change_ms():.1f} ms at each node")
+    click.echo(f"a request spends {cost.view_check_us():.2f} us to check that its node may forward")
+    click.echo(f"a change of 4096 verdicts takes {cost.verdict_change_ms():.1f} ms at each node")
     for nodes in COST_SIZES:
         leader, other = cost.words(nodes)
         rates = f"{leader:.0f} bytes per second, each of the others {other:.0f}"
@@ -133,7 +133,7 @@
         broken += 1
         timeline = msgspec.convert(result["timeline"], Timeline)
         click.echo(f"seed {timeline.seed} breaks: {result['broken'][0]}")
-        timeline = searching.least(timeline, searching.broken_by, click.echo)
+        timeline = searching.least(timeline, searching.find_violations, click.echo)
         path = save_finding(into, "timeline", timeline)
         click.echo(f"{path}: {len(timeline.events)} events left")
     if folder is not None:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -95,7 +95,7 @@
     return site.program.ask(request("pay", timeout, ident=ident))
 
 
-def spills(site):
+def wait_for_spill_offer(site):
     wait_for(lambda: "spill offered" in site.program.log())
 
 
@@ -126,7 +126,7 @@
     for one in (a, b):
         one.lose()
     for one in (a, b):
-        spills(one)
+        wait_for_spill_offer(one)
     wait_for(lambda: a.says()["hot"] and b.says()["hot"])
     time_before = time.monotonic()
     assert save(a, "lost", 8000).status == "503"
@@ -138,7 +138,7 @@
     gate = []
     a, b = sites([reply()], [once_open(gate)] * 2)
     a.lose()
-    spills(a)
+    wait_for_spill_offer(a)
     wait_for(lambda: a.program.log().count("spill offered"))
     answers = []
     with a.program.connect() as sock, sock.makefile("rb") as source:
--- a/tests/test_jsonrpc.py
+++ b/tests/test_jsonrpc.py
@@ -33,7 +33,7 @@
 METHODS = {"load": "read", "save": "pay"}
 
 
-class Box(StandIn):
+class JsonRpcBackend(StandIn):
     """A stand-in box: `behave(box, call)` gives what is written back, None for nothing; `runs` counts.
 
     A tuple is written piece by piece.
@@ -78,7 +78,7 @@
     running = []
 
     def start(*behaviours, more="", settings=None, **limits):
-        boxes = [Box(behave) for behave in behaviours]
+        boxes = [JsonRpcBackend(behave) for behave in behaviours]
         members = [member(f"s-{i}", box) for i, box in enumerate(boxes)]
         discovery, listen = DiscoveryStandIn(members), own_address()
         path = tmp_path / "jsonrpc.toml"
