--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -130,7 +130,7 @@
 
 
 def make_environment(folder):
-    """Creates a `.venv` like the platform's, with byte code made by `build`, then changes the source times."""
+    """Creates a `.venv` like the platform's, with byte code made by `build`, then changes source times."""
     packages = folder / ".venv/lib" / f"python{sys.version_info.major}.{sys.version_info.minor}/site-packages"
     packages.mkdir(parents=True)
     (folder / ".venv/bin").mkdir()
@@ -152,7 +152,7 @@
 
 @pytest.fixture(scope="module")
 def start_record(tmp_path_factory):
-    """Starts a node. Returns the modules it loaded, the files it opened, and what the libraries load alone."""
+    """Starts a node. Returns its loaded modules, its opened files, and what the libraries load alone."""
     folder = tmp_path_factory.mktemp("start")
     packages = make_environment(folder)
     record, path = folder / "record.json", folder / "config.json"
