--- a/basalthoist/__main__.py
+++ b/basalthoist/__main__.py
@@ -19,9 +19,9 @@
     """Runs the node or the command and returns the exit code."""
     add_site_packages()
     if len(sys.argv) < 2:
-        from .start import serve_by
+        from .start import run_node
 
-        return serve_by()
+        return run_node()
     try:
         from .commands.cli import main as run_command
     except ImportError as error:
--- a/basalthoist/commands/serving.py
+++ b/basalthoist/commands/serving.py
@@ -16,7 +16,7 @@
 )
 def serve(configuration: Path, log: str) -> None:
     """Run a node with a CONFIGURATION file, JSON or TOML."""
-    from basalthoist.start import serve_by
+    from basalthoist.start import run_node
 
     os.environ["PROXY_CONFIG"] = str(configuration)
     structured_log = None
@@ -24,7 +24,7 @@
         from .structured import StructuredLog
 
         structured_log = StructuredLog(log)
-    sys.exit(serve_by(structured_log))
+    sys.exit(run_node(structured_log))
 
 
 @click.command()
--- a/basalthoist/configuration/node.py
+++ b/basalthoist/configuration/node.py
@@ -93,7 +93,7 @@
         self.network_settings: NetworkSettings = network
         self.routes: list[Route] = network.routes
         longest = max(route.overall_timeout for route in network.routes)
-        self.longest_s: float = longest / MICROSECONDS_PER_SECOND or DEFAULT_TIMEOUT_S
+        self.longest_timeout_s: float = longest / MICROSECONDS_PER_SECOND or DEFAULT_TIMEOUT_S
         self.customers: list[str] = [account.name for account in network.accounts]
         self.has_load_reports: bool = network.feedback.how != "off"
         connect_s = network.policy_limits.connect_timeout / MICROSECONDS_PER_SECOND
@@ -101,7 +101,7 @@
         keepalive_s = network.policy_limits.keepalive / MICROSECONDS_PER_SECOND or DEFAULT_KEEPALIVE_S
         self.upstream_idle_s: float = keepalive_s * document.limits.upstream_idle_part
 
-    def waits_for_restart(self, before: "Configuration") -> list[str]:
+    def keys_needing_restart(self, before: "Configuration") -> list[str]:
         """Returns the keys whose values changed in the file and take effect only after a restart."""
         keys = ("name", "listen", "admin", "seed", "limits", "settings", "peer_listen", "peers", "shadow")
         return [key for key in keys if getattr(self.document, key) != getattr(before.document, key)]
--- a/basalthoist/jsonrpc/front_end.py
+++ b/basalthoist/jsonrpc/front_end.py
@@ -52,7 +52,7 @@
         self.notifications: int = 0
         self.listener: Listener | None = None
         self.longest_timeout: int = int(
-            configuration.longest_s * SECOND
+            configuration.longest_timeout_s * SECOND
         )  # tenths of a millisecond; of all routes
         self.shutdown: Shutdown = Shutdown(self)
         self.drained: asyncio.Future = self.shutdown.drained
--- a/basalthoist/start.py
+++ b/basalthoist/start.py
@@ -38,7 +38,7 @@
     distribution: "DistributionDocument | None"
 
 
-def serve_by(log_format: LogFormat | None = None) -> int:
+def run_node(log_format: LogFormat | None = None) -> int:
     """Runs the node that PROXY_CONFIG configures until a shutdown signal. Returns the exit code."""
     # Guards against a SIGHUP before the node exists, which would end the process, or be lost once the files
     # have been read. The handler is installed before the imports, which take most of the start.
