--- a/basalthoist/configuration/distribution.py
+++ b/basalthoist/configuration/distribution.py
@@ -90,18 +90,18 @@
 
     Raises ConfigurationError, naming the file at `path` and the first faulty key."""
     if document.role != role:
-        refuse(path, "role", repr(role), repr(document.role))
+        raise_unexpected(path, "role", repr(role), repr(document.role))
     for number, seed in enumerate(document.seeds):
         address(f"{path}: seeds[{number}]", seed)
     if role == "node" and not document.seeds:
-        refuse(path, "seeds", "addresses of relays", "none")
+        raise_unexpected(path, "seeds", "addresses of relays", "none")
     if role == "relay":
         check_relay(path, document)
     check_times(path, document)
     return document
 
 
-def refuse(path: str, key: str, expected: str, got: object) -> NoReturn:
+def raise_unexpected(path: str, key: str, expected: str, got: object) -> NoReturn:
     """Raises ConfigurationError, naming the key of the file at `path`."""
     raise ConfigurationError(f"{path}: {key}: expected {expected}, got {got}")
 
@@ -109,18 +109,20 @@
 def check_relay(path: str, document: DistributionDocument) -> None:
     """Raises ConfigurationError for the first faulty key among those that only a relay's file has."""
     if not document.name:
-        refuse(path, "name", "this relay's name", "none")
+        raise_unexpected(path, "name", "this relay's name", "none")
     address(f"{path}: listen", document.listen)
     if document.admin:
         address(f"{path}: admin", document.admin)
     if not document.voters:
-        refuse(path, "voters", "machines that vote on who is author", "none")
+        raise_unexpected(path, "voters", "machines that vote on who is author", "none")
     check_voters(path, document.voters)
     own = document.voters.get(document.name)
     if own is not None and own.address != document.listen:
-        refuse(path, "listen", f"{own.address}, as among voters", document.listen)
+        raise_unexpected(path, "listen", f"{own.address}, as among voters", document.listen)
     if document.lease_s < 4 * document.beat_s:
-        refuse(path, "beat_s", f"at most a quarter of lease_s, {document.lease_s / 4:g}", document.beat_s)
+        raise_unexpected(
+            path, "beat_s", f"at most a quarter of lease_s, {document.lease_s / 4:g}", document.beat_s
+        )
 
 
 def check_voters(path: str, voters: dict[str, Voter]) -> None:
@@ -131,15 +133,19 @@
             place = key, address(f"{path}: voters.{name}.{key}", getattr(voter, key))
             # Guards against two voters that receive each other's messages.
             if place in owner_of:
-                refuse(path, f"voters.{name}.{key}", "an address of its own", f"that of {owner_of[place]}")
+                raise_unexpected(
+                    path, f"voters.{name}.{key}", "an address of its own", f"that of {owner_of[place]}"
+                )
             owner_of[place] = name
 
 
 def check_times(path: str, document: DistributionDocument) -> None:
     """Raises ConfigurationError if a timeout is too short for the heartbeat interval or `fresh_s`."""
     if document.fresh_s < 2 * document.touch_s:
-        refuse(path, "fresh_s", f"at least two touches, {2 * document.touch_s:g}", document.fresh_s)
+        raise_unexpected(path, "fresh_s", f"at least two touches, {2 * document.touch_s:g}", document.fresh_s)
     if document.stale_s < document.fresh_s:
-        refuse(path, "stale_s", f"at least fresh_s, {document.fresh_s:g}", document.stale_s)
+        raise_unexpected(path, "stale_s", f"at least fresh_s, {document.fresh_s:g}", document.stale_s)
     if document.silent_s < 2 * document.touch_s:
-        refuse(path, "silent_s", f"at least two touches, {2 * document.touch_s:g}", document.silent_s)
+        raise_unexpected(
+            path, "silent_s", f"at least two touches, {2 * document.touch_s:g}", document.silent_s
+        )
--- a/basalthoist/configuration/node.py
+++ b/basalthoist/configuration/node.py
@@ -92,8 +92,8 @@
         self.slot_cycle_s: float = slot_cycle_of(document, network)
         self.network_settings: NetworkSettings = network
         self.routes: list[Route] = network.routes
-        longest = max(route.overall_timeout for route in network.routes)
-        self.longest_timeout_s: float = longest / MICROSECONDS_PER_SECOND or DEFAULT_TIMEOUT_S
+        longest_timeout = max(route.overall_timeout for route in network.routes)
+        self.longest_timeout_s: float = longest_timeout / MICROSECONDS_PER_SECOND or DEFAULT_TIMEOUT_S
         self.customers: list[str] = [account.name for account in network.accounts]
         self.has_load_reports: bool = network.feedback.how != "off"
         connect_s = network.policy_limits.connect_timeout / MICROSECONDS_PER_SECOND
--- a/basalthoist/configuration/strict_entries.py
+++ b/basalthoist/configuration/strict_entries.py
@@ -134,9 +134,9 @@
     elif removed.kind == "tenant":
         keys = [("limit", removed.name)]
     for key in keys:
-        found = change[key] if key in change else present(key)
-        if found is None or not found.on:
+        user = change[key] if key in change else present(key)
+        if user is None or not user.on:
             continue
-        if removed.kind != "service" or service_of(found) == removed.name:
+        if removed.kind != "service" or service_of(user) == removed.name:
             return f"{key[0]} {key[1]}"
     return ""
--- a/basalthoist/jsonrpc/front_end.py
+++ b/basalthoist/jsonrpc/front_end.py
@@ -47,13 +47,12 @@
         tenants = configuration.customers
         self.tenant: int = tenants.index(document.customer) if document.customer in tenants else 0
         self.max_open_calls: int = document.most_open  # maximum calls in progress on a connection
-        self.max_batch_calls: int = document.most_batch
+        self.max_batch_calls: int = document.most_batch  # maximum calls in a batch
         self.connections: dict[JsonRpcClientConnection, None] = {}
         self.notifications: int = 0
         self.listener: Listener | None = None
-        self.longest_timeout: int = int(
-            configuration.longest_timeout_s * SECOND
-        )  # tenths of a millisecond; of all routes
+        # The longest timeout of any route, in tenths of a millisecond.
+        self.longest_timeout: int = int(configuration.longest_timeout_s * SECOND)
         self.shutdown: Shutdown = Shutdown(self)
         self.drained: asyncio.Future = self.shutdown.drained
         self.check_drained: Callable[[], None] = self.shutdown.check_drained
--- a/basalthoist/simulator/adapter.py
+++ b/basalthoist/simulator/adapter.py
@@ -112,7 +112,7 @@
                 continue
             who, mark = parts[1], len(out)
             if not who.isdigit():
-                reader.bad("an instance number", who)
+                reader.fail("an instance number", who)
             try:
                 if parts[0] == "START":
                     instances[who] = Instance(who, out, int(parts[2]), parse_pairs(parts[3:]), now)
@@ -125,7 +125,7 @@
                 if raised_by_decisions(error):
                     out[mark:] = [f"PANIC\t{who}\t{describe(error)}\n"]
                 else:
-                    reader.bad(f"well-formed values for {parts[0]} ({error})", "\t".join(parts))
+                    reader.fail(f"well-formed values for {parts[0]} ({error})", "\t".join(parts))
             except Exception as error:
                 out[mark:] = [f"PANIC\t{who}\t{describe(error)}\n"]
         sink.write("".join(out) + f"OK\t{batch}\n")
--- a/basalthoist/simulator/codec.py
+++ b/basalthoist/simulator/codec.py
@@ -26,15 +26,15 @@
         self.line_number = 0
         self.batch: str = "none"
 
-    def bad(self, expected: str, line: str) -> NoReturn:
+    def fail(self, expected: str, line: str) -> NoReturn:
         shown = line.rstrip("\n")[:80]
         raise WireError(f"batch {self.batch}, line {self.line_number}: expected {expected}, got {shown!r}")
 
-    def number(self, text: str, what: str) -> int:
+    def number(self, text: str, meaning: str) -> int:
         try:
             return int(text)
         except ValueError:
-            self.bad(f"a whole number for {what}", text)
+            self.fail(f"a whole number for {meaning}", text)
 
     def frame(self) -> tuple[int, str] | None:
         for line in self.source:
@@ -43,7 +43,7 @@
                 continue
             parts = line.rstrip("\n").split("\t")
             if parts[0] != "FRAME" or len(parts) != 3:
-                self.bad("FRAME, clock and number", line)
+                self.fail("FRAME, clock and number", line)
             clock = self.number(parts[1], "the clock")
             self.batch = str(self.number(parts[2], "the batch"))
             return clock, self.batch
@@ -58,12 +58,12 @@
                 continue
             parts = line.rstrip("\n").split("\t")
             if parts[0] not in EVENT_VALUES:
-                self.bad("an event or YOUR_TURN", line)
+                self.fail("an event or YOUR_TURN", line)
             count = EVENT_VALUES[parts[0]]
             if len(parts) < 3 if count is None else len(parts) != count + 1:
-                self.bad(f"{'at least 2' if count is None else count} values for {parts[0]}", line)
+                self.fail(f"{'at least 2' if count is None else count} values for {parts[0]}", line)
             yield parts
-        self.bad("YOUR_TURN before the end of input", "")
+        self.fail("YOUR_TURN before the end of input", "")
 
     def backends(self, count: str, to_tenths) -> list[Endpoint]:
         entries = []
@@ -72,14 +72,16 @@
             self.line_number += 1
             parts = line.rstrip("\n").split("\t")
             if parts[0] != "BACKEND" or len(parts) != 8:
-                self.bad("a BACKEND line with 7 values", line)
+                self.fail("a BACKEND line with 7 values", line)
             if parts[5] not in BACKEND_STATES:
-                self.bad("healthy, cordoned or deregistered", parts[5])
-            zone, kind, cell = (0 if p == "-" else self.number(p, "an index") for p in parts[2:5])
+                self.fail("healthy, cordoned or deregistered", parts[5])
+            zone, kind, cell = (0 if value == "-" else self.number(value, "an index") for value in parts[2:5])
             try:
                 weight = 1.0 if parts[6] == "-" else float(parts[6])
             except ValueError:
-                self.bad("a number for the share", parts[6])
-            started = None if parts[7] in ("-", "0") else to_tenths(self.number(parts[7], "the start time"))
-            entries.append(Endpoint(parts[1], zone, kind, cell, BACKEND_STATES[parts[5]], weight, started))
+                self.fail("a number for the share", parts[6])
+            started_at = (
+                None if parts[7] in ("-", "0") else to_tenths(self.number(parts[7], "the start time"))
+            )
+            entries.append(Endpoint(parts[1], zone, kind, cell, BACKEND_STATES[parts[5]], weight, started_at))
         return entries
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -57,8 +57,8 @@
     tree = ast.parse(PATHS[module].read_text())
     skipped = type_checking_nodes(tree)
     names = [name for node in ast.walk(tree) if node not in skipped for name in imported_names(module, node)]
-    found = {name if name in PATHS else name.rpartition(".")[0] for name in names}
-    return {name for name in found if name in PATHS and name != module}
+    modules = {name if name in PATHS else name.rpartition(".")[0] for name in names}
+    return {name for name in modules if name in PATHS and name != module}
 
 
 GRAPH = {module: imports_of(module) for module in PATHS}
