--- a/basalthoist/configuration/bodies.py
+++ b/basalthoist/configuration/bodies.py
@@ -8,7 +8,7 @@
 from basalthoist.addresses import address_of
 from basalthoist.distribution.catalogue import Catalogue, Entry, EntryError, Key
 
-Present = Callable[[Key], Entry | None]  # returns a key's entry before the change, if any
+Present = Callable[[Key], Entry | None]  # returns a key's entry after all earlier changes
 SCOPED_KINDS = "route", "backends"  # kinds whose entries have a service as their scope
 
 
--- a/basalthoist/configuration/distribution.py
+++ b/basalthoist/configuration/distribution.py
@@ -47,9 +47,8 @@
     history_bytes: Count = 8 * 1024 * 1024  # changes retained for subscribers that are behind
     keep_s: Seconds = 30.0  # interval at which a relay writes its file; a node writes its own every 1 s
     tenants: Count = 2_000  # maximum number of tenants whose entries a node stores
-    usual_quota: Annotated[float, msgspec.Meta(ge=0, le=1e9)] = (
-        10.0  # applies until a tenant's quota is known
-    )
+    # The quota of a tenant whose own quota is not known yet, in requests per second.
+    usual_quota: Annotated[float, msgspec.Meta(ge=0, le=1e9)] = 10.0
     lease_s: Seconds = 2.0  # lease of the register, as in the fleet's file
     beat_s: Seconds = 0.2  # heartbeat interval of the register, as in the fleet's file
 
--- a/basalthoist/configuration/node.py
+++ b/basalthoist/configuration/node.py
@@ -71,7 +71,7 @@
         self.listen: Address = address("listen (PROXY_LISTEN)", listen)
         admin = environment.get("PROXY_ADMIN") or document.admin
         self.admin: Address | None = address("admin (PROXY_ADMIN)", admin) if admin else None
-        # The folder for files that outlive the process and are read by its successors.
+        # The folder for files that outlive this process and are read by other processes of the same node.
         self.folder: str = environment.get("TMPDIR", "") if admin else ""
         self.discovery: Address = discovery_of(document, environment, before)
         self.seed: int = seed_of(document)
@@ -124,7 +124,7 @@
 def slot_cycle_of(document: Document, network: NetworkSettings) -> float:
     """Returns the seconds that discovery needs to answer a poll of every node, one after another.
 
-    Returns 0 if discovery is not polled."""
+    Returns 0 if polls put no load on discovery."""
     if network.discovery != "on_request":
         return 0.0
     lines = network.siblings * len(document.known.endpoints)
--- a/basalthoist/configuration/strict_entries.py
+++ b/basalthoist/configuration/strict_entries.py
@@ -80,7 +80,7 @@
 def check_entries_as_files(entries: list[Entry], present: Present, catalogue: Catalogue) -> None:
     """Raises EntryError, naming the key, for the first entry that would be invalid in a node's file.
 
-    `present` returns the entries before the change, `catalogue` has the committed entries by scope."""
+    `present` returns entries after all earlier changes, `catalogue` has the committed entries by scope."""
     if len(entries) > MAX_ENTRIES_PER_CALL:
         raise EntryError(f"entries: expected at most {MAX_ENTRIES_PER_CALL}, got {len(entries)}")
     change = {entry.key: entry for entry in entries}
