--- a/basalthoist/emulator/__init__.py
+++ b/basalthoist/emulator/__init__.py
@@ -1,1 +1,3 @@
-"""A fleet in simulated time: the real decisions, with backends, network, discovery and clients as models."""
+"""Simulates a fleet in simulated time: the production decision code runs against models of backends, network,
+discovery and clients.
+"""
--- a/basalthoist/emulator/events.py
+++ b/basalthoist/emulator/events.py
@@ -1,4 +1,4 @@
-"""Simulated time: one ordered structure of everything due, in whole tenths of a millisecond."""
+"""The event queue of the simulation. Times are whole tenths of a millisecond."""
 
 from collections.abc import Callable
 from heapq import heappop, heappush
@@ -6,36 +6,36 @@
 SECOND = 10_000
 
 
-class Due:
-    """Something due; `stop` takes it back."""
+class Timer:
+    """A scheduled callback. `stop` cancels it."""
 
-    __slots__ = ("act",)
+    __slots__ = ("callback",)
 
-    def __init__(self, act: Callable[[], None]) -> None:
-        self.act: Callable[[], None] | None = act
+    def __init__(self, callback: Callable[[], None]) -> None:
+        self.callback: Callable[[], None] | None = callback
 
     def stop(self) -> None:
-        self.act = None
+        self.callback = None
 
 
 class Events:
-    """What is due at the same time happens in the order in which it was asked for, so a seed fixes a run."""
+    """Runs callbacks by time, then in the order of scheduling, so that a seed determines a run."""
 
     def __init__(self) -> None:
-        self.now, self.seq, self.happened = 0, 0, 0
-        self.due: list[tuple[int, int, Due]] = []
+        self.now, self.seq, self.processed = 0, 0, 0
+        self.due: list[tuple[int, int, Timer]] = []
 
-    def after(self, delay: float, act: Callable[[], None]) -> Due:
+    def after(self, delay: float, callback: Callable[[], None]) -> Timer:
         self.seq += 1
-        due = Due(act)
-        # Rounded, not cut: gaps of a few tenths that all lose half of one would be unasked load.
-        heappush(self.due, (self.now + max(round(delay), 0), self.seq, due))
-        return due
+        timer = Timer(callback)
+        # Rounded, not truncated: losing half a tick of each gap would add load where gaps are a few ticks.
+        heappush(self.due, (self.now + max(round(delay), 0), self.seq, timer))
+        return timer
 
     def run(self, until: int) -> None:
         while self.due and self.due[0][0] <= until:
-            self.now, _, due = heappop(self.due)
-            if due.act is not None:
-                self.happened += 1
-                due.act()
+            self.now, _, timer = heappop(self.due)
+            if timer.callback is not None:
+                self.processed += 1
+                timer.callback()
         self.now = until
--- a/basalthoist/emulator/results.py
+++ b/basalthoist/emulator/results.py
@@ -1,4 +1,4 @@
-"""What became of each client's wish, as figures of a run."""
+"""Collects the result of each client call and computes the figures of a run."""
 
 from math import ceil
 
@@ -6,62 +6,62 @@
 from .scenario import Scenario
 
 
-def percentile(ordered: list[int], part: float) -> float:
-    """In milliseconds, by the nearest rank."""
-    return ordered[max(ceil(part * len(ordered)) - 1, 0)] / 10 if ordered else 0.0
+def percentile(ordered: list[int], fraction: float) -> float:
+    """Return the `fraction` quantile by nearest rank, in milliseconds, of sorted tenths of a millisecond."""
+    return ordered[max(ceil(fraction * len(ordered)) - 1, 0)] / 10 if ordered else 0.0
 
 
 class Results:
     def __init__(self, scenario: Scenario, events) -> None:
         self.scenario, self.events = scenario, events
-        self.from_at = int(scenario.warmup_s * SECOND)
+        self.measured_from = int(scenario.warmup_s * SECOND)
         length = ceil(scenario.length_s)
         names = ("offered", "in_time", "late", "shed", "failed")
         self.seconds = [dict.fromkeys(names, 0) for _ in range(length)]
         self.routes = [dict.fromkeys((*names, "value", "kept"), 0.0) for _ in scenario.routes]
-        self.times: list[int] = []
-        self.under_way: dict[int, object] = {}
+        self.latencies: list[int] = []
+        self.in_progress: dict[int, object] = {}
 
-    def counted(self, client) -> bool:
-        return client.came_at >= self.from_at
+    def is_measured(self, client) -> bool:
+        return client.arrived_at >= self.measured_from
 
-    def come(self, client) -> None:
-        self.under_way[id(client)] = client
-        self.seconds[client.came_at // SECOND]["offered"] += 1
-        if self.counted(client):
+    def add(self, client) -> None:
+        self.in_progress[id(client)] = client
+        self.seconds[client.arrived_at // SECOND]["offered"] += 1
+        if self.is_measured(client):
             route = self.routes[client.route_number]
             route["offered"] += 1
             route["value"] += self.scenario.routes[client.route_number].value
 
-    def end(self, client, final: str) -> None:
-        self.under_way.pop(id(client), None)
-        took = self.events.now - client.came_at
+    def end(self, client, result: str) -> None:
+        self.in_progress.pop(id(client), None)
+        duration = self.events.now - client.arrived_at
         route = self.scenario.routes[client.route_number]
-        what = {"served": "in_time", "shed": "shed"}.get(final, "failed")
-        if what == "in_time" and took > 10 * route.objective_ms:
-            what = "late"
-        self.seconds[client.came_at // SECOND][what] += 1
-        if self.counted(client):
+        category = {"served": "in_time", "shed": "shed"}.get(result, "failed")
+        if category == "in_time" and duration > 10 * route.objective_ms:
+            category = "late"
+        self.seconds[client.arrived_at // SECOND][category] += 1
+        if self.is_measured(client):
             figures = self.routes[client.route_number]
-            figures[what] += 1
-            figures["kept"] += route.value * (what == "in_time")
-            if final == "served":
-                self.times.append(took)
+            figures[category] += 1
+            figures["kept"] += route.value * (category == "in_time")
+            if result == "served":
+                self.latencies.append(duration)
 
     def close(self) -> None:
-        for client in list(self.under_way.values()):
+        for client in list(self.in_progress.values()):
             self.end(client, "open")
 
     def figures(self) -> dict:
         value = sum(route["value"] for route in self.routes)
         offered = sum(route["offered"] for route in self.routes)
-        self.times.sort()
-        parts = {what: sum(route[what] for route in self.routes) / max(offered, 1)
-                 for what in ("in_time", "late", "shed", "failed")}  # fmt: skip
+        self.latencies.sort()
+        fractions = {category: sum(route[category] for route in self.routes) / max(offered, 1)
+                 for category in ("in_time", "late", "shed", "failed")}  # fmt: skip
         worst = min((r["kept"] / r["value"] for r in self.routes if r["value"]), default=0.0)
         return {
             "offered": int(offered), "kept": sum(r["kept"] for r in self.routes) / value if value else 0.0,
-            "worst_route": worst, **parts, "p50_ms": percentile(self.times, 0.5),
-            "p95_ms": percentile(self.times, 0.95), "p99_ms": percentile(self.times, 0.99),
-            "mean_ms": sum(self.times) / len(self.times) / 10 if self.times else 0.0,
+            "worst_route": worst, **fractions, "p50_ms": percentile(self.latencies, 0.5),
+            "p95_ms": percentile(self.latencies, 0.95), "p99_ms": percentile(self.latencies, 0.99),
+            "mean_ms": sum(self.latencies) / len(self.latencies) / 10 if self.latencies else 0.0,
         }  # fmt: skip
--- a/basalthoist/emulator/scenario.py
+++ b/basalthoist/emulator/scenario.py
@@ -1,4 +1,4 @@
-"""A scenario file: fleet, load and a timeline of faults, read and checked here and nowhere else.
+"""Reads and validates scenario files: fleet, load and a timeline of faults.
 
 Times are seconds, service times and delays milliseconds; `docs/emulator.md` lists every key.
 """
@@ -9,15 +9,15 @@
 import msgspec
 
 Positive = Annotated[float, msgspec.Meta(gt=0)]
-NotNegative = Annotated[float, msgspec.Meta(ge=0)]
-Part = Annotated[float, msgspec.Meta(ge=0, le=1)]
+NonNegative = Annotated[float, msgspec.Meta(ge=0)]
+Fraction = Annotated[float, msgspec.Meta(ge=0, le=1)]
 Count = Annotated[int, msgspec.Meta(ge=1)]
-Semantics = Literal["retriable", "deduped", "non-retriable"]  # as scenario files have them
+Semantics = Literal["retriable", "deduped", "non-retriable"]  # values of scenario files
 SEMANTICS = {"retriable": "idempotent", "deduped": "deduplicated", "non-retriable": "at_most_once"}
 
 
 class ScenarioError(Exception):
-    """What is wrong, with the file and the faulty key."""
+    """An invalid scenario file. The message names the file and the key."""
 
 
 class Strict(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
@@ -25,7 +25,7 @@
 
 
 class Kind(Strict):
-    """A kind of backend; a location's backends are dealt out among the kinds by their share."""
+    """A kind of backend. The backends are distributed among the kinds in proportion to `share`."""
 
     name: str = "std"
     share: Positive = 1.0
@@ -39,26 +39,28 @@
     kinds: tuple[Kind, ...] = (Kind(),)
     pod_size: Count = 4
     cold_from: Annotated[float, msgspec.Meta(gt=0, le=1)] = 0.3
-    warm_s: NotNegative = 8.0
-    crowded_at: NotNegative = 0.0  # exchanges held a slot from which it turns slower; 0: never
+    warm_s: NonNegative = 8.0
+    crowded_at: NonNegative = 0.0  # requests in flight per slot above which it slows down; 0: never
     crowded_factor: Annotated[float, msgspec.Meta(ge=1)] = 1.0
-    fall_multiple: Annotated[float, msgspec.Meta(ge=0)] = 3.0  # 0: a cold backend never falls over
+    fall_multiple: Annotated[float, msgspec.Meta(ge=0)] = (
+        3.0  # 0: a backend never crashes from overload while it warms up
+    )
     fall_s: Positive = 2.0
     reports: bool = True
-    work_left_on_cancel: bool = True  # a cancelled exchange that runs is finished all the same
+    work_left_on_cancel: bool = True  # a cancelled request that already runs is finished anyway
 
 
 class Network(Strict):
-    delay_ms: NotNegative = 0.2  # one way, within a location
-    cross_ms: NotNegative = 0.5
-    jitter: Part = 0.2
+    delay_ms: NonNegative = 0.2  # one way, within a location
+    cross_ms: NonNegative = 0.5
+    jitter: Fraction = 0.2
     connect_timeout_ms: Positive = 250.0
-    message_loss: Part = 0.0
+    message_loss: Fraction = 0.0
 
 
 class Discovery(Strict):
-    lag_s: NotNegative = 1.0
-    spread_s: NotNegative = 0.1
+    lag_s: NonNegative = 1.0
+    spread_s: NonNegative = 0.1
 
 
 class Route(Strict):
@@ -67,38 +69,38 @@
     semantics: Semantics = "retriable"
     service_ms: Positive = 30.0
     distribution: Literal["constant", "exponential", "lognormal"] = "lognormal"
-    spread: NotNegative = 0.5  # coefficient of variation of the lognormal one
+    spread: NonNegative = 0.5  # coefficient of variation; lognormal only
     objective_ms: Positive = 100.0
     timeout_ms: Positive = 400.0
     value: Positive = 1.0
 
 
-class Customer(Strict):
+class Tenant(Strict):
     name: str
     share: Positive = 1.0
     quota_per_s: Positive = 1e9
 
 
 class Load(Strict):
-    """Open loop: clients come whether or not others have been answered."""
+    """Open-loop load: arrivals do not depend on earlier answers."""
 
     rate: Positive = 100.0
     retries: Annotated[int, msgspec.Meta(ge=0)] = 1
-    backoff_ms: NotNegative = 50.0
-    gives_up: Part = 0.0  # share of the clients that leave early
-    gives_up_after: Part = 0.5  # of the timeout
+    backoff_ms: NonNegative = 50.0
+    gives_up: Fraction = 0.0  # fraction of the clients that abandon their request early
+    gives_up_after: Fraction = 0.5  # as a fraction of the timeout
 
 
 class Node(Strict):
     probes: bool = True
-    probe_price: NotNegative = 0.002
+    probe_price: NonNegative = 0.002
     peers: bool = False
-    peer_price: NotNegative = 0.01
+    peer_price: NonNegative = 0.01
     tries: Count = 3
     parallel: bool = False
-    cross_price: NotNegative = 0.0
-    notice_s: NotNegative = 1.5  # until clients stop coming to a dead node
-    restart_s: NotNegative = 1.5
+    cross_price: NonNegative = 0.0
+    notice_s: NonNegative = 1.5  # time until clients stop connecting to a dead node
+    restart_s: NonNegative = 1.5
     drain_grace_s: Positive = 2.0
     answer_grace_ms: Positive = 5.0
 
@@ -109,14 +111,16 @@
 
 
 class Fault(Strict):
-    """From `at_s` for `for_s`; `part` of the fleet (of `location`, where one is named) is met."""
+    """A fault from `at_s` for `for_s` seconds on `part` of the fleet, or of `location` if it is set."""
 
     kind: FaultKind
-    at_s: NotNegative
+    at_s: NonNegative
     for_s: Positive = 5.0
     part: Annotated[float, msgspec.Meta(gt=0, le=1)] = 0.25
     location: int | None = None
-    factor: Positive = 3.0  # slow: service time; surge: rate; errors: share of 1/factor is left good
+    factor: Positive = (
+        3.0  # slow: on service times; surge: on the rate; errors: 1/factor of the requests succeed
+    )
 
     def __post_init__(self) -> None:
         if self.kind in ("slow", "surge") and self.factor < 1:
@@ -126,7 +130,7 @@
 class Scenario(Strict):
     name: str = "unnamed"
     length_s: Positive = 30.0
-    warmup_s: NotNegative = 2.0  # not counted
+    warmup_s: NonNegative = 2.0  # excluded from the figures
     seed: int = 1
     nodes: Count = 3
     locations: Count = 1
@@ -136,7 +140,7 @@
     node: Node = msgspec.field(default_factory=Node)
     load: Load = msgspec.field(default_factory=Load)
     routes: Annotated[tuple[Route, ...], msgspec.Meta(min_length=1)] = (Route(name="read"),)
-    customers: tuple[Customer, ...] = ()
+    customers: tuple[Tenant, ...] = ()
     faults: tuple[Fault, ...] = ()
 
     def __post_init__(self) -> None:
@@ -158,15 +162,15 @@
 def text_of(path: str | Path) -> bytes:
     try:
         return Path(path).read_bytes()
-    except OSError as wrong:
-        raise ScenarioError(f"{path}: {wrong.strerror}") from None
+    except OSError as error:
+        raise ScenarioError(f"{path}: {error.strerror}") from None
 
 
 def decode(data: bytes, source: str = "scenario", kind: type = Scenario):
-    """A scenario, or another `kind` of file of experiments."""
+    """Decode a scenario, or another `kind` of experiment file; raise ScenarioError if it is invalid."""
     try:
         return msgspec.toml.decode(data, type=kind)
-    except msgspec.ValidationError as wrong:
-        raise ScenarioError(f"{source}: {wrong}") from None
-    except (msgspec.DecodeError, UnicodeDecodeError) as wrong:
-        raise ScenarioError(f"{source}: not TOML: {wrong}") from None
+    except msgspec.ValidationError as error:
+        raise ScenarioError(f"{source}: {error}") from None
+    except (msgspec.DecodeError, UnicodeDecodeError) as error:
+        raise ScenarioError(f"{source}: not TOML: {error}") from None
