--- a/basalthoist/emulator/backends.py
+++ b/basalthoist/emulator/backends.py
@@ -66,7 +66,7 @@
         return min(self.settings.cold_from + (1.0 - self.settings.cold_from) * max(age, 0.0), 1.0)
 
     def capacity(self) -> float:
-        """Return the work that it can do per second, in seconds of work."""
+        """Returns the work that it can do per second, in seconds of work."""
         return self.kind.slots * self.kind.speed * self.warmth() / self.slowdown
 
     def time_for(self, work: float) -> float:
@@ -81,7 +81,7 @@
     # Requests and faults.
 
     def offer(self, job: Job) -> None:
-        """Take a complete request. A frozen backend does not start it, but queues it."""
+        """Takes a complete request. A frozen backend does not start it, but queues it."""
         if self.overloads(job.work):
             return
         if self.draining or len(self.waiting) >= self.kind.queue and len(self.running) >= self.kind.slots:
@@ -116,7 +116,7 @@
             job.on_done = None
 
     def abandon(self, job: Job) -> None:
-        """Cancel a job: drop a queued one; stop a running one unless `work_left_on_cancel` is set."""
+        """Cancels a job: drops a queued one, and stops a running one unless `work_left_on_cancel` is set."""
         job.on_done = None
         if job in self.waiting:
             self.waiting.remove(job)
@@ -141,7 +141,7 @@
             self.start_queued()
 
     def crash(self) -> None:
-        """End the process: open connections are reset, new ones refused."""
+        """Ends the process: open connections are reset, new ones refused."""
         self.alive, self.frozen, self.incarnation = False, False, self.incarnation + 1
         jobs = sorted(self.running, key=lambda job: job.ident) + list(self.waiting)
         self.running.clear()
@@ -158,7 +158,7 @@
         self.alive, self.draining, self.started = True, False, self.events.now
 
     def overloads(self, work: float) -> bool:
-        """Record arriving work; return True if this crashes the backend.
+        """Records arriving work; returns True if this crashes the backend.
 
         While it is warming up, it crashes when the work that arrives within `fall_s` exceeds
         `fall_multiple` times its current capacity.
--- a/basalthoist/emulator/clients.py
+++ b/basalthoist/emulator/clients.py
@@ -8,7 +8,7 @@
 
 
 def work_of(route: Route, rng: Random) -> float:
-    """Draw a request's service time on a warm backend of speed 1, in tenths of a millisecond."""
+    """Draws a request's service time on a warm backend of speed 1, in tenths of a millisecond."""
     mean = 10 * route.service_ms
     if route.distribution == "constant" or route.distribution == "lognormal" and not route.spread:
         return mean
@@ -31,11 +31,11 @@
         "ident",
         "node",
         "ended",
-        "gives_up_after",
+        "abandon_after",
     )
 
     def __init__(
-        self, population: "ClientPopulation", route_number: int, tenant: int, work: float, gives_up_after: int
+        self, population: "ClientPopulation", route_number: int, tenant: int, work: float, abandon_after: int
     ) -> None:
         self.population, self.route_number, self.tenant, self.work = population, route_number, tenant, work
         self.arrived_at, self.attempts, self.ident, self.node, self.ended = (
@@ -45,10 +45,10 @@
             None,
             False,
         )
-        self.gives_up_after = gives_up_after
+        self.abandon_after = abandon_after
 
     def send_request(self) -> None:
-        remaining = self.arrived_at + self.gives_up_after - self.population.events.now
+        remaining = self.arrived_at + self.abandon_after - self.population.events.now
         if self.ended or remaining <= 0:
             return self.end("expired")
         self.node = self.population.fleet.node_for_client()
@@ -60,7 +60,7 @@
         self.population.idents[self.ident] = self
         is_retry = self.attempts > 1
         timeout = self.population.timeouts[self.route_number]
-        if self.gives_up_after < timeout:
+        if self.abandon_after < timeout:
             self.population.events.after(remaining, self.give_up)
         time_left = self.arrived_at + timeout - self.population.events.now
         self.node.on_client_request(
@@ -79,7 +79,7 @@
         self.retry_or_end(result, safe_to_retry, retry_after)
 
     def unreachable(self) -> None:
-        """Handle a dead node: the connection was refused, or reset while the request was open."""
+        """Handles a dead node: the connection was refused, or reset while the request was open."""
         sent = self.ident and self.population.fleet.rule_checker.records[self.ident].sent
         safe_to_retry = not sent or self.population.routes[self.route_number].semantics == "retriable"
         self.retry_or_end("unreachable", safe_to_retry, 0)
@@ -130,9 +130,9 @@
             rng.choices(range(len(self.tenant_shares)), self.tenant_shares)[0] if self.tenant_shares else 0
         )
         timeout = self.timeouts[route_number]
-        gives_up = rng.random() < self.load.gives_up
-        gives_up_after = int(timeout * self.load.gives_up_after) if gives_up else timeout
-        client = Client(self, route_number, tenant, work_of(self.routes[route_number], rng), gives_up_after)
+        abandons = rng.random() < self.load.gives_up
+        abandon_after = int(timeout * self.load.gives_up_after) if abandons else timeout
+        client = Client(self, route_number, tenant, work_of(self.routes[route_number], rng), abandon_after)
         self.results.add(client)
         client.send_request()
         self.events.after(self.gap(), self.arrive)
--- a/basalthoist/emulator/costs.py
+++ b/basalthoist/emulator/costs.py
@@ -1,6 +1,6 @@
-"""What distribution/ costs at a size, counted in simulated time: messages and bytes, and a node's memory.
+"""Measures the costs of distribution/ in a simulated fleet: messages, bytes, and the memory of a node.
 
-`python -m basalthoist.emulator.costs [NODES]` prints it as JSON. Bytes are of frames, without TCP's own.
+`python -m basalthoist.emulator.costs [NODES]` prints them as JSON. Bytes are of frames, without TCP headers.
 """
 
 import json
@@ -29,32 +29,32 @@
 
 
 def catalogue_of(services: int, routes: int, backends: int, tenants: int, relays: list[Entry]) -> Catalogue:
-    """Routes and backends spread evenly over services; addresses are never connected to."""
+    """Returns a catalogue with routes and backends spread evenly over services, and unused addresses."""
     names = [f"service-{number}" for number in range(services)]
-    made = Catalogue(1, relays)
+    catalogue = Catalogue(1, relays)
     for name in names:
-        made.put(Entry("service", name, name))
+        catalogue.put(Entry("service", name, name))
     for number in range(routes):
         body = {"overall_timeout": 500_000 + number, "value": 3.0, "semantics": "idempotent"}
-        made.put(Entry("route", f"route-{number}", names[number % services], body))
+        catalogue.put(Entry("route", f"route-{number}", names[number % services], body))
     for at, name in enumerate(names):
         numbers = range(at, backends, services)
         members = [{"id": f"backend-{number}", "host_port": f"127.1.{number % 250}.{number // 250}:8000",
                     "locality": "zone-1", "size": 1.0} for number in numbers]  # fmt: skip
-        made.put(Entry("backends", f"backends-{name}", name, {"members": members}))
+        catalogue.put(Entry("backends", f"backends-{name}", name, {"members": members}))
     for number in range(tenants):
-        made.put(tenant(f"tenant-{number}", 10.0))
-    return made
+        catalogue.put(tenant(f"tenant-{number}", 10.0))
+    return catalogue
 
 
-class Full(Distributed):
-    """Begun with the catalogue at its size. Nothing is judged: it is counted."""
+class FullSizeWorld(Distributed):
+    """A world that starts with a complete catalogue. It counts messages and bytes and verifies nothing."""
 
     tick_nodes = 2_500
 
     def __init__(self, nodes: int, relays: int, voters: int, catalogue: Catalogue, fronts: int) -> None:
         class FilledStore(Store):
-            """One that was in step with the leader when it ended."""
+            """A store that had the complete catalogue when its process ended."""
 
             @classmethod
             def from_bytes(cls, fleet: str, data: bytes, history_bytes: int) -> "FilledStore":
@@ -70,29 +70,29 @@
         self.add(nodes, services, fronts)
 
     def add(self, nodes: int, services: list[str], fronts: int) -> None:
-        """Nodes, each of which fronts so many services."""
+        """Adds nodes, each of which serves `fronts` services."""
         for number in range(nodes):
-            first = number // 10 * fronts  # ten nodes front the same services
+            first = number // 10 * fronts  # ten nodes serve the same services
             scopes = [services[(first + at) % len(services)] for at in range(fronts)]
             self.add_node(f"node-{number}", self.regions[number % REGIONS], scopes)
 
-    def judge(self) -> None:
-        """Nothing."""
+    def verify(self) -> None:
+        """Skips the verification."""
 
     def verify_node(self, node: Node) -> None:
-        """Nothing."""
+        """Skips the verification."""
 
     def verify_commit(self, machine: RelayMachine) -> None:
-        """Only when it was."""
+        """Records only when the version was committed."""
         self.committed_at.setdefault(machine.store.version, self.at)
 
     def verify_version(self, node: Node, version: int) -> None:
-        """Only when it was acted on first."""
+        """Records only when the node first acted on the version."""
         self.acted_at.setdefault(version, {}).setdefault(node.name, self.at)
 
 
-# What is counted, by its name in the output.
-COUNTED = {
+# Counters of a process, by their names in the output.
+COUNTERS = {
     "bytes_out": "bytes_out",
     "words_out": "messages_out",
     "bytes_in": "bytes_in",
@@ -101,57 +101,59 @@
 }
 
 
-def sums(processes: list[SimulatedProcess]) -> list[list[int]]:
-    """What each has counted so far."""
-    return [[getattr(process, name) for name in COUNTED.values()] for process in processes]
+def read_counters(processes: list[SimulatedProcess]) -> list[list[int]]:
+    """Returns the counters of each process."""
+    return [[getattr(process, name) for name in COUNTERS.values()] for process in processes]
 
 
-class Span:
-    """What was sent between two moments, a second, by role: the most of any process of that role."""
+class TrafficMeter:
+    """Measures the highest rates of traffic of any process of each role, from its creation on."""
 
-    def __init__(self, world: Full) -> None:
+    def __init__(self, world: FullSizeWorld) -> None:
         leader = world.author()
         relays = [machine for machine in world.machines.values() if machine.name != leader]
         self.world = world
         self.began_at = world.at
         self.roles = {"author": [world.by_name[leader]], "relay": relays, "node": list(world.nodes.values())}
-        self.before = {role: sums(processes) for role, processes in self.roles.items()}
+        self.before = {role: read_counters(processes) for role, processes in self.roles.items()}
 
     def rates(self) -> dict:
-        """By role, then by name of COUNTED."""
-        lasted, found = (self.world.at - self.began_at) / SECOND, {}
+        """Returns the highest rates per second, by role, then by name of COUNTERS."""
+        duration, found = (self.world.at - self.began_at) / SECOND, {}
         for role, processes in self.roles.items():
-            pairs = zip(sums(processes), self.before[role], strict=True)
-            grown = [[a - b for a, b in zip(after, before, strict=True)] for after, before in pairs]
-            most = [round(max(one[at] for one in grown) / lasted, 1) for at in range(len(COUNTED))]
-            found[role] = dict(zip(COUNTED, most, strict=True))
+            pairs = zip(read_counters(processes), self.before[role], strict=True)
+            differences = [[a - b for a, b in zip(after, before, strict=True)] for after, before in pairs]
+            highest = [
+                round(max(counts[at] for counts in differences) / duration, 1) for at in range(len(COUNTERS))
+            ]
+            found[role] = dict(zip(COUNTERS, highest, strict=True))
         return found
 
 
-def lags(world: Full, since: int) -> dict:
-    """Seconds from when a change is committed until a node acts on it: median, 99th percentile, last."""
-    found = sorted((at - world.committed_at[version]) / SECOND for version, acted in world.acted_at.items()
-                   if version > since for at in acted.values())  # fmt: skip
+def propagation_times(world: FullSizeWorld, since: int) -> dict:
+    """Returns the seconds from a commit until a node acts on it: median, 99th percentile, maximum."""
+    found = sorted((at - world.committed_at[version]) / SECOND for version, times in world.acted_at.items()
+                   if version > since for at in times.values())  # fmt: skip
     if not found:
         return {}
     return {"p50": found[len(found) // 2], "p99": found[len(found) * 99 // 100], "last": found[-1]}
 
 
-def memory_of(catalogue: Catalogue, scopes: list[str], tenants: int) -> dict:
-    """Bytes of a node's subscriber after a snapshot, the tenants' names and so many of their entries."""
+def subscriber_memory(catalogue: Catalogue, scopes: list[str], tenants: int) -> dict:
+    """Returns the memory in bytes of a subscriber with a snapshot, the tenant filter and some tenants."""
     store = Store(BOUNDS.history_bytes, catalogue)
     snapshot, names = store.snapshot(tuple(sorted({"", *scopes}))), store.filter_message()
-    held = store.tenant_entries([f"tenant-{number}" for number in range(tenants)])
+    cached = store.tenant_entries([f"tenant-{number}" for number in range(tenants)])
 
-    class Silent:
+    class NullHost:
         def __getattr__(self, name: str) -> Callable[..., None]:
             return lambda *arguments: None
 
     tracemalloc.start()
-    node = Subscriber(Silent(), "node", 1, "z", scopes, ["127.0.0.1:7000"], BOUNDS, Lcg(1), 0)
+    node = Subscriber(NullHost(), "node", 1, "z", scopes, ["127.0.0.1:7000"], BOUNDS, Lcg(1), 0)
     node.on_message(1, DECODER.decode(names.data))
     node.on_message(1, DECODER.decode(snapshot.data))
-    for entry in held:
+    for entry in cached:
         node.tenants.look_up(1, entry.name)
         node.tenants.on_update(1, DECODER.decode(ENCODE(TenantUpdate(1, [entry]))), 1)
     size, _ = tracemalloc.get_traced_memory()
@@ -163,40 +165,41 @@
 def costs(nodes: int = 3_300, relays: int = 13, voters: int = 3, services: int = 2_000, routes: int = 11_000,
           backends: int = 32_000, tenants: int = 200_000, fronts: int = 20,
           seconds: int = 10) -> dict:  # fmt: skip
-    """At rest, at 7,000 changes a day, in a burst of 500 changes in 10 s; a node's memory."""
+    """Measures traffic at rest, at 7,000 changes a day, and at 500 changes in 10 s; and a node's memory."""
     names = [f"n{number}" for number in range(voters)] + [f"r{number}" for number in range(relays)]
-    there = [Entry("relay", name, "", {"address": f"127.0.{at}.1:7000", "region": f"z{at % 5}"})
+    relay_entries = [Entry("relay", name, "", {"address": f"127.0.{at}.1:7000", "region": f"z{at % 5}"})
              for at, name in enumerate(names)]  # fmt: skip
-    catalogue = catalogue_of(services, routes, backends, tenants, there)
-    world = Full(nodes, relays, voters, catalogue, fronts)
+    catalogue = catalogue_of(services, routes, backends, tenants, relay_entries)
+    world = FullSizeWorld(nodes, relays, voters, catalogue, fronts)
     while not world.author():
         world.run(world.at + SECOND)
-    world.run(world.at + 75 * SECOND)  # all go where they belong
+    world.run(world.at + 75 * SECOND)  # long enough for all nodes to move to their preferred relays
     found: dict = {"nodes": nodes, "machines": relays + voters, "fronts": fronts}
     found["sessions"] = sorted(len(machine.relay.sessions) for machine in world.machines.values())
-    span = Span(world)
+    meter = TrafficMeter(world)
     world.run(world.at + seconds * SECOND)
-    found["at_rest"] = span.rates()
-    span, ident = Span(world), 0
+    found["at_rest"] = meter.rates()
+    meter, ident = TrafficMeter(world), 0
     changed = [number * 7 % routes for number in range(520)]
     changes = [route(f"route-{number}", f"service-{number % services}", 1_000) for number in changed]
     gap = 86_400 * SECOND // 7_000
-    for ident in range(2):  # as often as 7,000 a day
+    for ident in range(2):  # at the rate of 7,000 a day
         world.operator_call("r0", ident, [changes[ident]])
         world.run(world.at + gap)
-    found["by_day"] = span.rates() | {"lag": lags(world, 1)}
-    since, span = max(world.committed_at), Span(world)
+    found["by_day"] = meter.rates() | {"lag": propagation_times(world, 1)}
+    since, meter = max(world.committed_at), TrafficMeter(world)
     for ident in range(10, 510):
         world.operator_call(f"r{ident % relays}", ident, [changes[ident]])
         world.run(world.at + SECOND // 50)
-    found["burst"] = span.rates()
-    world.run(world.at + 6 * SECOND)  # an answer waits for who has just left, as long as a view lasts
-    found["burst"] |= {"versions": max(world.committed_at) - since, "lag": lags(world, since)}
+    found["burst"] = meter.rates()
+    # Calls are answered only once the views of nodes that have just left are stale.
+    world.run(world.at + 6 * SECOND)
+    found["burst"] |= {"versions": max(world.committed_at) - since, "lag": propagation_times(world, since)}
     found["answers"] = sum(text.startswith("SUCCESS") for text in world.answers.values())
     found["acting"] = sum(node.subscriber.version == max(world.committed_at) for node in world.nodes.values())
     delta = world.by_name["r0"].store.update_for(("",), since)
     found["delta_of_nothing"] = size_of(delta) if delta is not None and type(delta.message) is Delta else 0
-    found["node"] = memory_of(catalogue, [f"service-{number}" for number in range(fronts)], 200)
+    found["node"] = subscriber_memory(catalogue, [f"service-{number}" for number in range(fronts)], 200)
     return found
 
 
--- a/basalthoist/emulator/explore.py
+++ b/basalthoist/emulator/explore.py
@@ -1,9 +1,10 @@
-"""Every order of faults and calls on a small fleet to a stated depth: what random plays may never meet.
+"""Explores every order of faults and calls on a small fleet up to a depth, which random runs may miss.
 
-A state is the whole fleet with what is under way. A round: half a lease passes, each clock at its rate; each
-node looks at its timers, and words are passed on until nobody has any. Between rounds, by choice: a node is
-cut off, deaf or dumb, the links are whole again, a node stands still or wakes, or starts anew with nothing;
-words are held up from now on, or let through in order or backwards; who thinks that it leads is called.
+A state is the complete fleet with its messages in transit. In a round, half a lease passes by each clock,
+each node runs its timers, and messages are delivered until none is left. Between rounds, one of these may
+happen: a node is cut off in both directions, inbound or outbound; all links are restored; a node is frozen,
+woken, or restarted without its file; messages are delayed from now on, or the delayed ones are released in
+order or backwards; an operator call is made at a node that considers itself the leader.
 """
 
 import pickle
@@ -21,30 +22,32 @@
 SMALL = Bounds(
     lease=10_000, heartbeat_interval=4_000, fresh=8_000, stale=12_000, drift=0.1, call_timeout=40_000
 )
-LEFT = {"restart": 1, "call": 2, "freeze": 1, "cut": 2, "late": 1}  # how often each may be chosen
+MAX_CHOICES = {"restart": 1, "call": 2, "freeze": 1, "cut": 2, "late": 1}  # how often each may happen
 
 
 class Steps(Replicas):
-    """Nothing happens by itself: each step is chosen."""
+    """A fleet without a clock of its own: each step is chosen by the caller."""
 
     def __init__(self, count: int, bounds: Bounds = SMALL, make: type = Replica, seed: int = 1) -> None:
-        self.flying: list[tuple] = []
-        self.held_up: list[tuple] = []
-        self.left, self.late = Counter(LEFT), False
+        self.in_transit: list[tuple] = []
+        self.delayed: list[tuple] = []
+        self.choices_left, self.late = Counter(MAX_CHOICES), False
         super().__init__(count, count, seed, bounds, make=make)
         self.events.clear()
         rates = 1 - bounds.drift, 1 + bounds.drift, 1.0
         for number, node in enumerate(self.replica_nodes.values()):
             node.rate = rates[number % 3]
 
-    def later(self, after: int, what: tuple) -> None:
-        if callable(what[0]):
-            what[0](*what[1:])
+    def later(self, after: int, event: tuple) -> None:
+        if callable(event[0]):
+            event[0](*event[1:])
 
-    def sent(self, source: ReplicaNode, name: str, message: Message) -> None:
+    def transmit(self, source: ReplicaNode, name: str, message: Message) -> None:
         if (source.name, name) not in self.cut:
             incarnations = source.incarnation, source.known_incarnations.get(name, 1)
-            (self.held_up if self.late else self.flying).append((source.name, name, incarnations, message))
+            (self.delayed if self.late else self.in_transit).append(
+                (source.name, name, incarnations, message)
+            )
 
     def choices(self) -> Iterator[tuple]:
         yield ("round",)
@@ -53,103 +56,106 @@
                 yield "wake", name
                 continue
             for kind in ("restart", "freeze"):
-                if self.left[kind]:
+                if self.choices_left[kind]:
                     yield kind, name
-            if self.left["cut"]:
-                yield from (("cut", name), ("deaf", name), ("dumb", name))
+            if self.choices_left["cut"]:
+                yield from (("cut", name), ("cut inbound", name), ("cut outbound", name))
         if self.cut:
             yield ("heal",)
-        if self.left["call"]:
+        if self.choices_left["call"]:
             for name, node in self.replica_nodes.items():
                 if node.replica.role is Role.LEADER:
                     yield "call", name
         if self.late:
-            yield from (("let through", "in order"), ("let through", "backwards"))
-        elif self.left["late"]:
+            yield from (("release", "in order"), ("release", "backwards"))
+        elif self.choices_left["late"]:
             yield ("late",)
 
-    def step(self, kind: str, what: str = "") -> None:
-        limited = "cut" if kind in ("deaf", "dumb") else kind
-        self.left[limited] -= limited in LEFT
+    def step(self, kind: str, argument: str = "") -> None:
+        limited = "cut" if kind in ("cut inbound", "cut outbound") else kind
+        self.choices_left[limited] -= limited in MAX_CHOICES
         if kind == "round":
             self.at += self.bounds.lease // 2
-            self.judge()
+            self.verify()
             for node in self.replica_nodes.values():
                 if not node.frozen:
                     node.replica.on_tick(node.now())
-                    self.judge()
+                    self.verify()
         elif kind == "restart":
-            self.restart(what, keeps=False)
+            self.restart(argument, keeps=False)
         elif kind == "freeze":
-            self.freeze(what)
+            self.freeze(argument)
         elif kind == "wake":
-            self.wake(what)
-        elif kind in ("cut", "deaf", "dumb"):
-            others = [name for name in self.names if name != what]
-            self.cut |= {(what, other) for other in others if kind != "deaf"}
-            self.cut |= {(other, what) for other in others if kind != "dumb"}
+            self.wake(argument)
+        elif kind in ("cut", "cut inbound", "cut outbound"):
+            others = [name for name in self.names if name != argument]
+            self.cut |= {(argument, other) for other in others if kind != "cut inbound"}
+            self.cut |= {(other, argument) for other in others if kind != "cut outbound"}
         elif kind == "heal":
             self.heal()
         elif kind == "call":
-            self.call(what, 10 - self.left["call"], [Verdict("ban", f"s{self.left['call']}")])
+            self.call(
+                argument, 10 - self.choices_left["call"], [Verdict("ban", f"s{self.choices_left['call']}")]
+            )
         elif kind == "late":
             self.late = True
         else:
-            self.late, waiting, self.held_up = False, self.held_up, []
-            self.flying += waiting if what == "in order" else waiting[::-1]
-        self.pass_on()
+            self.late, waiting, self.delayed = False, self.delayed, []
+            self.in_transit += waiting if argument == "in order" else waiting[::-1]
+        self.deliver_messages()
 
-    def pass_on(self) -> None:
-        """Guards against fleets that would talk for ever: a round is a bounded number of words."""
+    def deliver_messages(self) -> None:
+        """Delivers up to 300 messages and drops the rest, in case replicas answer one another without end."""
         for _ in range(300):
-            if not self.flying:
+            if not self.in_transit:
                 return
-            source, name, incarnations, message = self.flying.pop(0)
+            source, name, incarnations, message = self.in_transit.pop(0)
             self.arrive_message(self.replica_nodes[name], source, incarnations, message)
-        self.flying.clear()
+        self.in_transit.clear()
 
-    def picture(self) -> bytes:
+    def snapshot(self) -> bytes:
         self.lines.clear()
         self.seq = self.sent_messages = 0
         return pickle.dumps(self)
 
 
 def led(count: int, make: type = Replica, bounds: Bounds = SMALL, seed: int = 1) -> bytes:
-    """A state to begin from: a leader has been elected, and all act on what it has committed."""
+    """Returns a start state: a leader is elected, and all nodes act on what it has committed."""
     fleet = Steps(count, bounds, make, seed)
     while not fleet.leader() and fleet.at < 20 * bounds.lease:
         fleet.step("round")
     for _ in range(2):
         fleet.step("round")
-    return fleet.picture()
+    return fleet.snapshot()
 
 
-def explore(start: bytes, chosen: int, rounds: int, most: int = 1 << 30) -> tuple[int, bool]:
-    """All states that at most so many choices and rounds lead to, in any order, and at most so many states.
+def explore(start: bytes, max_choices: int, max_rounds: int, max_states: int = 1 << 30) -> tuple[int, bool]:
+    """Visits all states that up to `max_choices` choices and `max_rounds` rounds lead to, in any order.
 
-    Returns how many there are, and whether these are all. Raises Broken, with the steps that lead there.
+    Returns the number of states, and whether all were visited, as `max_states` was not reached.
+    Raises Broken, with the steps that lead there, if a state violates a guarantee.
     """
     seen: dict[bytes, set[tuple[int, int]]] = {}
     waiting, count = deque([(start, (), 0, 0)]), 0
     while waiting:
-        state, path, chose, passed = waiting.popleft()
+        state, path, choices, rounds = waiting.popleft()
         for choice in list(pickle.loads(state).choices()):
-            a_round = choice == ("round",)
-            spent = chose + (not a_round), passed + a_round
-            if spent[0] > chosen or spent[1] > rounds:
+            is_round = choice == ("round",)
+            spent = choices + (not is_round), rounds + is_round
+            if spent[0] > max_choices or spent[1] > max_rounds:
                 continue
             fleet = pickle.loads(state)
             try:
                 fleet.step(*choice)
-            except Broken as wrong:
-                raise Broken(f"{wrong}; steps: {[*path, choice]}") from None
-            picture = fleet.picture()
-            before = seen.setdefault(blake2b(picture, digest_size=12).digest(), set())
+            except Broken as error:
+                raise Broken(f"{error}; steps: {[*path, choice]}") from None
+            snapshot = fleet.snapshot()
+            before = seen.setdefault(blake2b(snapshot, digest_size=12).digest(), set())
             if any(one[0] <= spent[0] and one[1] <= spent[1] for one in before):
                 continue
             count += not before
             before.add(spent)
-            if count >= most:
+            if count >= max_states:
                 return count, False
-            waiting.append((picture, (*path, choice), *spent))
+            waiting.append((snapshot, (*path, choice), *spent))
     return count, True
--- a/basalthoist/emulator/faults.py
+++ b/basalthoist/emulator/faults.py
@@ -23,7 +23,7 @@
         return self.rng.sample(servers, min(count, len(servers)))
 
     def kill(self, fault: Fault) -> None:
-        """Crash backends and restart them cold; the endpoint list follows after the discovery lag."""
+        """Crashes backends and restarts them cold; the endpoint list follows after the discovery lag."""
         for server in self.targets(fault):
             self.fleet.kill(server)
             self.events.after(self.duration(fault), lambda server=server: self.fleet.revive(server))
@@ -34,7 +34,7 @@
             self.events.after(self.duration(fault), server.thaw)
 
     def cut(self, fault: Fault) -> None:
-        """Cut off a location without resets: open connections fall silent, new ones time out."""
+        """Cuts off a location without resets: open connections fall silent, new ones time out."""
         location = fault.location or 0
         self.fleet.paths.cut(location)
         self.events.after(self.duration(fault), lambda: self.fleet.paths.restore(location))
@@ -56,7 +56,7 @@
             self.events.after(self.duration(fault), lambda server=server: set_success_rate(server, 1.0))
 
     def drain(self, fault: Fault) -> None:
-        """Drain backends; each is killed when the time is up and restarts cold one second later."""
+        """Drains backends; each is killed when the time is up and restarts cold one second later."""
         for server in self.targets(fault):
             self.fleet.drain(server)
             self.events.after(self.duration(fault), lambda server=server: self.restart_cold(server))
@@ -66,7 +66,7 @@
         self.events.after(SECOND, lambda: self.fleet.revive(server))
 
     def replace(self, fault: Fault) -> None:
-        """Roll out replacements: successors under new names start, then predecessors drain."""
+        """Rolls out replacements: successors under new names start, then predecessors drain."""
         servers = self.targets(fault)
         for position, server in enumerate(servers):
             self.events.after(
@@ -91,7 +91,7 @@
         self.events.after(self.duration(fault), end)
 
     def stale(self, fault: Fault) -> None:
-        """Hold back discovery updates for a while, then deliver them all at once."""
+        """Holds back discovery updates for a while, then delivers them all at once."""
         self.fleet.discovery_paused_until = max(
             self.fleet.discovery_paused_until, self.events.now + self.duration(fault)
         )
--- a/basalthoist/emulator/fleet.py
+++ b/basalthoist/emulator/fleet.py
@@ -46,7 +46,7 @@
         FaultTimeline(self)
 
     def rng(self, purpose: str) -> Random:
-        """Return the random stream of this purpose; separate streams give all policies the same arrivals."""
+        """Returns the random stream of this purpose; separate streams give all policies the same arrivals."""
         if purpose not in self.streams:
             self.streams[purpose] = Random(self.seed << 32 | zlib.crc32(purpose.encode()))
         return self.streams[purpose]
@@ -61,7 +61,7 @@
     # Backends.
 
     def in_transit_to(self, name: str) -> int:
-        """Return the number of requests on their way to a backend, from all nodes."""
+        """Returns the number of requests on their way to a backend, from all nodes."""
         return self.in_transit.get(name, 0)
 
     def kind_no(self, number: int) -> int:
@@ -127,7 +127,7 @@
         return [s.entry() for s in self.servers.values() if s.listed and s.alive]
 
     def publish(self, entries: list[Endpoint]) -> None:
-        """Deliver an update to each node, in order, after the discovery lag and a random spread."""
+        """Delivers an update to each node, in order, after the discovery lag and a random spread."""
         discovery, rng = self.scenario.discovery, self.rng("discovery")
         for node in self.nodes if hasattr(self, "nodes") else ():
             wait = (discovery.lag_s + discovery.spread_s * rng.random()) * SECOND
@@ -152,7 +152,7 @@
     # Nodes.
 
     def node_for_client(self) -> EmulatedNode | None:
-        """Choose a node at random, as the front end does. A dead node stays in the choice for `notice_s`."""
+        """Chooses a node at random, as the front end does. A dead node stays in the choice for `notice_s`."""
         reachable = [
             n for n in self.nodes if n.alive or self.events.now < getattr(n, "appears_alive_until", 0)
         ]
@@ -166,7 +166,7 @@
             self.events.after(restart, lambda: node.alive or node.start(self.known_endpoints[node.number]))
 
     def settings_of(self, node: EmulatedNode) -> dict:
-        """Return the policy settings by key, as `settings_codec` makes them for a real node."""
+        """Returns the policy settings by key, as `settings_codec` makes them for a real node."""
         scenario, node_keys = self.scenario, self.scenario.node
         settings = {
             "nodes": scenario.nodes, "me": node.number, "zone": node.location, "tick": 1,
--- a/basalthoist/emulator/ledger.py
+++ b/basalthoist/emulator/ledger.py
@@ -91,7 +91,7 @@
         self.records[ident].sent[number].outcome = outcome
 
     def on_execution(self, now: int, ident: int, backend: str) -> None:
-        """Record that a backend began to execute a request. Nodes cannot observe this."""
+        """Records that a backend began to execute a request. Nodes cannot observe this."""
         record = self.records.get(ident)
         if record is None:
             return
--- a/basalthoist/emulator/network.py
+++ b/basalthoist/emulator/network.py
@@ -17,10 +17,10 @@
         self.cut_counts[location] = self.cut_counts[location] - 1
 
     def is_open(self, source: int, target: int) -> bool:
-        """Return whether packets pass. A cut affects all paths to other locations, none within a location."""
+        """Returns whether packets pass. A cut affects paths to other locations, not within one."""
         return source == target or not (self.cut_counts.get(source) or self.cut_counts.get(target))
 
     def delay(self, source: int, target: int) -> float:
-        """Return a random one-way delay in tenths of a millisecond."""
+        """Returns a random one-way delay in tenths of a millisecond."""
         mean = self.network.delay_ms if source == target else self.network.cross_ms
         return 10 * mean * (1 + self.network.jitter * (2 * self.rng.random() - 1))
--- a/basalthoist/emulator/nodes.py
+++ b/basalthoist/emulator/nodes.py
@@ -65,7 +65,7 @@
         self.requests.clear()
 
     def in_this_incarnation(self, callback, *arguments):
-        """Wrap a callback so that it runs only in this incarnation, not in the process after a restart."""
+        """Wraps a callback so that it runs only in this incarnation, not in the process after a restart."""
         incarnation = self.incarnation
 
         def guarded(*more):
@@ -136,7 +136,7 @@
         )
 
     def transmit(self, server: Server, on_arrival, on_connect_failed, on_reset) -> None:
-        """Transmit a request, on an open or a new connection. A cut path drops it silently."""
+        """Transmits a request, on an open or a new connection. A cut path drops it silently."""
         connected = (server.name, server.incarnation) in self.connected
         one_way_trips = 1 if connected else 3
         delay = self.paths.delay(self.location, server.location) * one_way_trips
--- a/basalthoist/emulator/ramp.py
+++ b/basalthoist/emulator/ramp.py
@@ -50,12 +50,12 @@
 
     @property
     def part(self) -> float:
-        """Return the work as a fraction of the tolerated work; above 1 the backend crashes."""
+        """Returns the work as a fraction of the tolerated work; above 1 the backend crashes."""
         return self.sent / (self.allowed + self.tolerance)
 
 
 def judge(arrivals: list[Arrival], started: int, terms: Backends, warm_rate: float, all_told=False) -> Worst:
-    """Find the worst instant among the arrivals of the warm-up.
+    """Finds the worst instant among the arrivals of the warm-up.
 
     An overload is excused if too little of its work came from informed nodes; `all_told` counts it too.
     """
@@ -176,7 +176,7 @@
         super().deliver_update(node, entries)
 
     def worst(self, all_told: bool = False) -> Worst:
-        """Return the worst instant of all backends that started cold, see `judge`."""
+        """Returns the worst instant of all backends that started cold, see `judge`."""
         terms = msgspec.structs.replace(self.scenario.backends, fall_multiple=self.case.multiple)
         mean, found = 10 * self.scenario.routes[0].service_ms, []
         for server in self.cold:
--- a/basalthoist/emulator/rate_limits.py
+++ b/basalthoist/emulator/rate_limits.py
@@ -1,7 +1,7 @@
-"""Limits shared by replicas in simulated time: traffic that moves among the nodes, and a judge of the sum.
+"""Simulates shared rate limits under traffic that moves between nodes, and verifies the total rate.
 
-What a node may use is asked of its buckets, at its own clock, whether or not it is frozen: the limit has to
-hold for whatever any node could do at that moment.
+The rate that a node may use is read from its token bucket by its own clock, even while the node is frozen:
+the limit has to hold for everything that any node could admit at that moment.
 """
 
 import time
@@ -17,24 +17,24 @@
 from .membership import INCARNATION, OVERHEAD
 from .replicas import TICK, UNITS_PER_SECOND, Broken, ReplicaNode, Replicas
 
-SLACK = 0.01  # requests a second: what rounding may leave
+RATE_TOLERANCE = 0.01  # requests per second, for rounding
 USUAL = Bounds(20_000, 2_000, 10_000, 40_000, 0.001, 60_000)
-MAX_WAITING = 100.0  # requests that wait at a frozen node
+MAX_WAITING = 100.0  # requests queued at a node
 WINDOWS = 0.1, 0.5, 1.0, 2.0, 5.0  # seconds
 
 
 def allowed(rate: float, burst: float, nodes: int, drift: float, seconds: float) -> float:
-    """The bound of docs/fleet.md on what a fleet admits within any so many seconds."""
+    """Returns the bound of docs/fleet.md on the requests admitted within any window of `seconds`."""
     return rate * seconds * (1 + drift) + max(burst, nodes) + nodes
 
 
 def most_within(times: Sequence[float], window: float) -> int:
-    """The most of the times, which are in order, that lie in any one window."""
+    """Returns the largest number of the sorted times that lie in one window."""
     return max((bisect_right(times, at + window) - number for number, at in enumerate(times)), default=0)
 
 
 class WindowCount(NamedTuple):
-    """The most that was admitted within one window, and what docs/fleet.md allows."""
+    """The most requests admitted within one window, and the bound of docs/fleet.md."""
 
     seconds: float
     admitted: int
@@ -42,32 +42,32 @@
 
 
 class LimitedReplicas(Replicas):
-    """One limit. `loads`: requests a second that come to each node; those of one that is down are lost."""
+    """A fleet with one limit. `loads`: requests per second to each node; a node that is down loses them."""
 
     def __init__(
         self, count: int, voters: int, seed: int, bounds: Bounds, limit: Limit, **options: Any
     ) -> None:
         self.loads: dict[str, float] = {}
-        self.waiting: dict[str, float] = {}  # requests that have come to each node
-        self.admitted: list[int] = []  # when each was, in true time
+        self.waiting: dict[str, float] = {}  # requests queued at each node
+        self.admitted: list[int] = []  # true time of each admitted request
         self.admitted_by: dict[str, int] = {}
         self.highest_rate: float = 0.0
         super().__init__(count, voters, seed, bounds, limits=[limit], **options)
         self.limit: Limit = limit
 
-    def happen(self, what: tuple) -> None:
-        """With each tick requests come."""
-        super().happen(what)
-        if what[0] != "tick":
+    def process_event(self, event: tuple) -> None:
+        """Processes an event; with each tick of a node, new requests arrive at it."""
+        super().process_event(event)
+        if event[0] != "tick":
             return
-        node = self.replica_nodes[what[1]]
-        coming = self.loads.get(node.name, 0.0) * TICK / UNITS_PER_SECOND
-        self.waiting[node.name] = min(self.waiting.get(node.name, 0.0) + coming, MAX_WAITING)
+        node = self.replica_nodes[event[1]]
+        arriving = self.loads.get(node.name, 0.0) * TICK / UNITS_PER_SECOND
+        self.waiting[node.name] = min(self.waiting.get(node.name, 0.0) + arriving, MAX_WAITING)
         if node.replica is not None and not node.frozen:
             self.arrive(node)
 
     def wake(self, name: str) -> None:
-        """What has waited at a frozen node is admitted before the node has looked at anything else."""
+        """Ends a freeze. Queued requests are decided before the node processes timers or messages."""
         node = self.replica_nodes[name]
         if node.frozen:
             node.frozen = False
@@ -76,7 +76,7 @@
         super().wake(name)
 
     def arrive(self, node: ReplicaNode) -> None:
-        """The node decides on what waits, spread over the time since it was last looked at."""
+        """Decides on the queued requests, as if they had arrived evenly since the last decision."""
         bucket, now = node.holder.buckets[0], node.now()
         count = int(self.waiting.get(node.name, 0.0))
         self.waiting[node.name] = self.waiting.get(node.name, 0.0) - count
@@ -86,20 +86,20 @@
                 self.admitted_by[node.name] = self.admitted_by.get(node.name, 0) + 1
 
     def total_rate(self) -> float:
-        """What all nodes together may admit a second at this moment."""
+        """Returns the requests per second that all nodes together may admit now."""
         running = [node for node in self.replica_nodes.values() if node.replica is not None]
         return sum(node.holder.buckets[0].rate(node.now()) for node in running)
 
-    def judge(self) -> None:
-        """Raises Broken where the sum is over the limit."""
-        super().judge()
+    def verify(self) -> None:
+        """Raises Broken if the total rate is over the limit."""
+        super().verify()
         total = self.total_rate()
         self.highest_rate = max(self.highest_rate, total)
-        if total > self.limit.rate + SLACK:
+        if total > self.limit.rate + RATE_TOLERANCE:
             raise Broken(f"nodes may use {total:.2f}/s of {self.limit.rate:.2f}/s together")
 
     def windows(self, lengths: tuple[float, ...] = WINDOWS) -> list[WindowCount]:
-        """For windows of these lengths in seconds the most that was admitted within one."""
+        """Returns the most requests admitted within one window, for each length in seconds."""
         limit = self.limit.rate, self.limit.burst, len(self.names), self.bounds.drift
         return [
             WindowCount(
@@ -111,46 +111,47 @@
         ]
 
     def admitted_rate(self, since: int, until: int) -> float:
-        """Admitted a second."""
+        """Returns the mean number of requests admitted per second."""
         return sum(since <= at < until for at in self.admitted) / (until - since) * UNITS_PER_SECOND
 
 
 def fairness(shares: list[float]) -> float:
-    """Jain's index: 1 where all have as much, 1 / n where one has all (Jain, Chiu and Hawe 1984)."""
+    """Returns Jain's index: 1 if all shares are equal, 1 / n if one has all (Jain, Chiu and Hawe 1984)."""
     squares = sum(share * share for share in shares)
     return sum(shares) ** 2 / (len(shares) * squares) if squares else 1.0
 
 
 class WeighedReplicas(Replicas):
-    """Counts what each node sends, in bytes with headers."""
+    """Counts the bytes that each node sends, with headers."""
 
     def __init__(self, *arguments: Any, **options: Any) -> None:
         self.bytes: Counter[str] = Counter()
         super().__init__(*arguments, **options)
 
-    def sent(self, source: ReplicaNode, name: str, message: Message) -> None:
-        """Counts a message."""
+    def transmit(self, source: ReplicaNode, name: str, message: Message) -> None:
+        """Counts a message and transmits it."""
         envelope = Envelope(source.name, INCARNATION, name, INCARNATION, message)
         self.bytes[source.name] += len(ENCODE(envelope)) + OVERHEAD
-        super().sent(source, name, message)
+        super().transmit(source, name, message)
 
 
 class LargeFleet(LimitedReplicas, WeighedReplicas):
-    """Too large to judge at every message: the sum is looked at ten times a second."""
+    """A fleet too large to verify after every message: the total rate is verified ten times per second."""
 
-    judged_at = -1
+    verified_at = -1
 
-    def judge(self) -> None:
-        """Judges in the first tick of each tenth of a second."""
-        if self.at % 1000 < TICK and self.at != self.judged_at:
-            self.judged_at = self.at
-            super().judge()
+    def verify(self) -> None:
+        """Verifies in the first tick of each tenth of a second."""
+        if self.at % 1000 < TICK and self.at != self.verified_at:
+            self.verified_at = self.at
+            super().verify()
 
 
 def measured(count: int, seed: int = 1, per_node: float = 10.0) -> dict[str, float | None]:
-    """A fleet whose limit is half of what comes; then all of it comes to one node in nine.
+    """Runs a fleet with twice the load of its limit, then moves all load to one node in nine.
 
-    Seconds until 95% of the limit is used again and for a second; shares while all want as much; bytes.
+    Returns fairness under equal load, bytes sent per second, and the seconds until 95% of the limit is used
+    again.
     """
     limit = Limit("any", per_node * count / 2, 4.0 * count)
     fleet = LargeFleet(count, 5, seed, USUAL, limit)
@@ -160,7 +161,7 @@
     fleet.bytes.clear()
     began = time.process_time()
     fleet.run(fleet.at + 5 * UNITS_PER_SECOND)
-    took = time.process_time() - began
+    cpu_s = time.process_time() - began
     leader_bytes = fleet.bytes.pop(fleet.leader())
     shares = [fleet.admitted_by[name] - before.get(name, 0) for name in fleet.names]
     shift = seconds_to_shift(fleet, fleet.names[::9])
@@ -172,30 +173,33 @@
         "worst": fleet.highest_rate / limit.rate,
         "author_bytes_s": leader_bytes / 5,
         "other_bytes_s": sum(fleet.bytes.values()) / (count - 1) / 5,
-        "simulated_cpu_s": took,
+        "simulated_cpu_s": cpu_s,
     }
 
 
 def seconds_to_shift(fleet: LimitedReplicas, hot: list[str]) -> float | None:
-    """All traffic comes to the hot nodes: when the limit is used again. None: not within five seconds."""
+    """Moves all load to the hot nodes; returns the seconds until 95% of the limit is used for one second.
+
+    Returns None if that takes more than five seconds.
+    """
     since, rate = fleet.at, fleet.limit.rate
     fleet.loads = {name: 2 * rate / len(hot) for name in hot}
     fleet.run(fleet.at + 6 * UNITS_PER_SECOND)
     starts = range(since, fleet.at - UNITS_PER_SECOND, 1000)
-    used = [at for at in starts if fleet.admitted_rate(at, at + UNITS_PER_SECOND) >= 0.95 * rate]
-    return (used[0] - since) / UNITS_PER_SECOND if used else None
+    recovered = [at for at in starts if fleet.admitted_rate(at, at + UNITS_PER_SECOND) >= 0.95 * rate]
+    return (recovered[0] - since) / UNITS_PER_SECOND if recovered else None
 
 
 def leader_ms(count: int, limits: int = 1, times: int = 20) -> float:
-    """Processor time of the leader's books for one round of heartbeats, in ms."""
+    """Returns the processor time that the leader's granter takes per round of heartbeats, in ms."""
     many = [Limit(f"c{number}", 1000.0, 10.0) for number in range(limits)]
     granter = QuotaLeaseGranter(many, count, USUAL, 0)
     names = [f"n{number}" for number in range(count)]
     began = time.process_time()
     for number in range(times):
         now = granter.silent_until + number * USUAL.heartbeat_interval
-        for place, name in enumerate(names):
-            demand = Demand([(i, 5.0 + place % 7) for i in range(limits)], False, True)
+        for position, name in enumerate(names):
+            demand = Demand([(i, 5.0 + position % 7) for i in range(limits)], False, True)
             granter.on_demand(now, name, demand, now - 500)
         granter.plan(now, [limit.rate for limit in many])
         for name in names:
--- a/basalthoist/emulator/results.py
+++ b/basalthoist/emulator/results.py
@@ -7,7 +7,7 @@
 
 
 def percentile(ordered: list[int], fraction: float) -> float:
-    """Return the `fraction` quantile by nearest rank, in milliseconds, of sorted tenths of a millisecond."""
+    """Returns the `fraction` quantile by nearest rank, in milliseconds, of sorted tenths of a millisecond."""
     return ordered[max(ceil(fraction * len(ordered)) - 1, 0)] / 10 if ordered else 0.0
 
 
--- a/basalthoist/emulator/scenario.py
+++ b/basalthoist/emulator/scenario.py
@@ -167,7 +167,7 @@
 
 
 def decode(data: bytes, source: str = "scenario", kind: type = Scenario):
-    """Decode a scenario, or another `kind` of experiment file; raise ScenarioError if it is invalid."""
+    """Decodes a scenario, or another `kind` of experiment file; raises ScenarioError if it is invalid."""
     try:
         return msgspec.toml.decode(data, type=kind)
     except msgspec.ValidationError as error:
--- a/basalthoist/emulator/search.py
+++ b/basalthoist/emulator/search.py
@@ -12,7 +12,7 @@
 
 
 def draw(scenario: Scenario, rng: Random, max_faults: int = 5) -> Scenario:
-    """Return the scenario with another seed and two to `max_faults` random faults, which may overlap."""
+    """Returns the scenario with another seed and two to `max_faults` random faults, which may overlap."""
     faults = []
     for _ in range(rng.randint(2, max(max_faults, 2))):
         kind = rng.choice(KINDS)
@@ -33,7 +33,7 @@
 
 
 def shrink(scenario: Scenario, make_policy: Callable, rules: frozenset[str]) -> Scenario:
-    """Remove faults, then shorten the remaining ones, as long as one of `rules` is still broken."""
+    """Removes faults, then shortens the remaining ones, as long as one of `rules` is still broken."""
 
     def still_breaks(candidate: Scenario) -> bool:
         return bool(broken_rules(candidate, make_policy) & rules)
@@ -58,7 +58,7 @@
 
 
 def search(scenario: Scenario, make_policy: Callable, days: int, seed: int, report=lambda line: None):
-    """Yield each scenario found, shrunk, with the rules that the original broke."""
+    """Yields each scenario found, shrunk, with the rules that the original broke."""
     rng = Random(seed)
     for number in range(days):
         candidate = draw(scenario, rng)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -305,7 +305,8 @@
     ("rule", "policy", "text"),
     [
         ("lost", DropsRequests, ""), ("duplicate", RetriesUnsafely, SAVES + FAULTS.format("errors", 4, 0.5)),
-        ("drain", IgnoresDrains, FAULTS.format("drain", 5, 0.5)), ("cold", OverloadsCold, FAULTS.format("kill", 1, 0.1)),
+        ("drain", IgnoresDrains, FAULTS.format("drain", 5, 0.5)),
+        ("cold", OverloadsCold, FAULTS.format("kill", 1, 0.1)),
     ],
 )  # fmt: skip
 def test_rule_checker_reports_exactly_the_broken_rule(rule, policy, text):
