--- a/basalthoist/emulator/distributed.py
+++ b/basalthoist/emulator/distributed.py
@@ -358,7 +358,7 @@
             self.leader_session.send_heartbeat(now)
 
     def on_commit(self, entries: list[Entry]) -> None:
-        """Verifys and relay a newly committed version, and possibly rewrites the file."""
+        """Verifies and relay a newly committed version, and possibly rewrites the file."""
         self.world.verify_commit(self)
         self.relay.on_commit(self.now(), entries)
         # The file may be rewritten completely at any time.
@@ -542,7 +542,7 @@
             super().transmit(source, name, message)
 
     def on_applied(self, process, version) -> None:  # noqa: ANN001
-        """Verifys a version that a node or a replica of the register acts on."""
+        """Verifies a version that a node or a replica of the register acts on."""
         if isinstance(process, Node):
             self.verify_version(process, version)
         else:
@@ -656,7 +656,7 @@
         return ""
 
     def verify_commit(self, machine: RelayMachine) -> None:
-        """Verifys a machine's store: one history of consecutive versions, each call in only one of them."""
+        """Verifies a machine's store: one history of consecutive versions, each call in only one of them."""
         store = machine.store
         version, digest = store.head
         if version <= machine.highest_version:
@@ -695,7 +695,7 @@
                 history.append((self.at, body))
 
     def verify_version(self, node: Node, version: int) -> None:
-        """Verifys that a node acts on committed versions and never goes back."""
+        """Verifies that a node acts on committed versions and never goes back."""
         if version < node.highest_version:
             raise Broken(f"{node.name} went back from version {node.highest_version} to {version}")
         node.highest_version = version
@@ -704,7 +704,7 @@
         self.acted_at.setdefault(version, {}).setdefault(node.name, self.at)
 
     def verify_settled(self) -> None:
-        """Verifys recovery: there is a leader, and every node may forward requests on the latest version."""
+        """Verifies recovery: there is a leader, and every node may forward requests on the latest version."""
         latest, leader = max(self.truth), self.author()
         able = [
             node.subscriber
@@ -729,7 +729,7 @@
         return self.distribution_bounds.stale / (1 - self.distribution_bounds.drift) + 2
 
     def verify_node(self, node: Node) -> None:
-        """Verifys a node's view: correct content, neither older than the version in force nor too stale."""
+        """Verifies a node's view: correct content, neither older than the version in force nor too stale."""
         subscriber = node.subscriber
         if (
             not node.alive
@@ -753,16 +753,16 @@
             self.verify_tenant(node, name, cached.body)
 
     def verify_tenant(self, node: Node, name: str, body: dict | None) -> None:
-        """Verifys that a node's body of a tenant is the latest, or was until the staleness bound ago."""
+        """Verifies that a node's body of a tenant is the latest, or was until the staleness bound ago."""
         history = [(0, None), *self.tenant_history.get(name, [])]
         if history[-1][1] == body:
             return
-        error = f"{node.name} goes by an old part of tenant {name}"
+        message = f"{node.name} goes by an old part of tenant {name}"
         ended = [end for (_, earlier), (end, _) in pairwise(history) if earlier == body]
         if not ended or self.at - max(ended) > self.max_stale_time():
-            raise Broken(error)
+            raise Broken(message)
         if max(ended) <= self.committed_at[self.in_force]:
-            raise Broken(f"{error}, {self.in_force} was said to be in force")
+            raise Broken(f"{message}, {self.in_force} was said to be in force")
 
 
 def tenant(name: str, quota: float, on: bool = True) -> Entry:
--- a/basalthoist/emulator/storms.py
+++ b/basalthoist/emulator/storms.py
@@ -162,7 +162,7 @@
         world.later(duration, (self.restart, name, process.incarnation, keeps))
 
     def corrupt(self, process: SimulatedProcess) -> None:
-        """Truncates the file of a process, or change one byte."""
+        """Truncates the file of a process, or changes one byte."""
         at, data = self.random.randrange(len(process.files[-1])), process.files[-1]
         truncated = self.random.random() < 0.5
         process.files[-1] = data[:at] if truncated else data[:at] + b"?" + data[at + 1 :]
