--- a/basalthoist/emulator/storms.py
+++ b/basalthoist/emulator/storms.py
@@ -37,7 +37,7 @@
 DelayRange = tuple[int, int]  # shortest and longest delay of a message
 
 
-class Storm:
+class DistributionFaultInjector:
     """Injects random faults. At most a minority of the voters lose memory and file at the same time."""
 
     def __init__(
@@ -194,12 +194,14 @@
         return replica is not None and replica.voter.intact and machine.alive and own >= latest
 
 
-def storm(seed: int, faults: int, gap: float = 0.0, make: dict[str, type] | None = None) -> Storm:
+def run_random_faults(
+    seed: int, faults: int, gap: float = 0.0, make: dict[str, type] | None = None
+) -> DistributionFaultInjector:
     """Runs random faults on a new world and returns the injector. Raises Broken."""
     world = Distributed(12, (3, 5)[seed % 2], 2, seed, SHORT, REGISTER, make=make)
     for number, node in enumerate(world.nodes.values()):
         node.looked_up = [f"t{number % TENANTS}", f"t{(number + 5) % TENANTS}"]
-    injector = Storm(world, faults, gap=gap)
+    injector = DistributionFaultInjector(world, faults, gap=gap)
     injector.run()
     return injector
 
@@ -209,7 +211,7 @@
     broken, versions = 0, 0
     for seed in range(first, last):
         try:
-            versions += max(storm(seed, faults).world.truth)
+            versions += max(run_random_faults(seed, faults).world.truth)
         except Broken as error:
             broken += 1
             print(f"seed {seed}: {error}", flush=True)
