--- a/basalthoist/emulator/costs.py
+++ b/basalthoist/emulator/costs.py
@@ -20,7 +20,7 @@
 
 from .distributed import Distributed, Node, RelayMachine, SimulatedProcess, route, size_of, tenant
 
-REGISTER = FleetBounds(
+REGISTER_BOUNDS = FleetBounds(
     lease=20_000, heartbeat_interval=2_000, fresh=10_000, stale=40_000, drift=0.001, call_timeout=60_000
 )
 BOUNDS = Bounds()
@@ -60,7 +60,7 @@
             def from_bytes(cls, fleet: str, data: bytes, history_bytes: int) -> "FilledStore":
                 return cls(history_bytes, catalogue.copy())
 
-        super().__init__(0, voters, relays, 1, BOUNDS, REGISTER, REGIONS, make={"store": FilledStore})
+        super().__init__(0, voters, relays, 1, BOUNDS, REGISTER_BOUNDS, REGIONS, make={"store": FilledStore})
         self.truth, self.committed_at = {1: (catalogue.digest(), {})}, {1: 0}
         head = Verdict(*KEY, figure=1.0, who=PROPOSER, why=catalogue.digest().hex())
         for name, replica_node in self.replica_nodes.items():
--- a/basalthoist/emulator/ramp.py
+++ b/basalthoist/emulator/ramp.py
@@ -23,8 +23,8 @@
 MIN_INFORMED_SHARE = 2 / 3  # fraction of an overload's work from informed nodes above which it counts
 # How the nodes learn of the start: all at once; up to 4 s late; half of them never, or as if it were
 # warm already.
-LISTS = ("once", "late", "half", "half_warm")
-KNOWLEDGE = ("neither", "probes", "peers")
+LIST_UPDATES = ("once", "late", "half", "half_warm")
+LOAD_KNOWLEDGE = ("neither", "probes", "peers")
 
 
 class Arrival(NamedTuple):
@@ -54,10 +54,12 @@
         return self.sent / (self.allowed + self.tolerance)
 
 
-def judge(arrivals: list[Arrival], started: int, terms: Backends, warm_rate: float, all_told=False) -> Worst:
+def judge(
+    arrivals: list[Arrival], started: int, terms: Backends, warm_rate: float, include_excused=False
+) -> Worst:
     """Finds the worst instant among the arrivals of the warm-up.
 
-    An overload is excused if too little of its work came from informed nodes; `all_told` counts it too.
+    An overload is excused if too little of its work came from informed nodes; `include_excused` counts it too.
     """
     window, ramp = int(terms.fall_s * SECOND), terms.warm_s * SECOND
     within: deque[Arrival] = deque()
@@ -74,13 +76,13 @@
             sent, informed = sent - old.work, informed - old.work * old.informed
         capacity = terms.cold_from + (1 - terms.cold_from) * (arrival.at - started) / ramp
         current = Worst(sent, initial_allowed / terms.cold_from * capacity, (arrival.at - started) / SECOND)
-        if current.part > worst.part and (all_told or informed > MIN_INFORMED_SHARE * sent):
+        if current.part > worst.part and (include_excused or informed > MIN_INFORMED_SHARE * sent):
             worst = current
     return worst
 
 
 class Case(msgspec.Struct, frozen=True):
-    """A cold start in an emulated fleet. `lists` is one of LISTS, `knowledge` one of KNOWLEDGE."""
+    """A cold start in an emulated fleet. `lists` is one of LIST_UPDATES, `knowledge` one of LOAD_KNOWLEDGE."""
 
     nodes: int = 30
     lists: str = "once"
@@ -175,7 +177,7 @@
             self.start_known_at[node.number] = self.events.now
         super().deliver_update(node, entries)
 
-    def worst(self, all_told: bool = False) -> Worst:
+    def worst(self, include_excused: bool = False) -> Worst:
         """Returns the worst instant of all backends that started cold, see `judge`."""
         terms = msgspec.structs.replace(self.scenario.backends, fall_multiple=self.case.multiple)
         mean, found = 10 * self.scenario.routes[0].service_ms, []
@@ -189,7 +191,7 @@
                 for at, ident, work in server.arrivals
             ]
             warm_rate = server.kind.slots * server.kind.speed * SECOND / mean
-            found.append(judge(arrivals, server.started, terms, warm_rate, all_told))
+            found.append(judge(arrivals, server.started, terms, warm_rate, include_excused))
         return max(found, key=lambda worst: worst.part)
 
 
--- a/basalthoist/emulator/rate_limits.py
+++ b/basalthoist/emulator/rate_limits.py
@@ -18,7 +18,7 @@
 from .replicas import TICK, UNITS_PER_SECOND, Broken, ReplicaNode, Replicas
 
 RATE_TOLERANCE = 0.01  # requests per second, for rounding
-USUAL = Bounds(20_000, 2_000, 10_000, 40_000, 0.001, 60_000)
+USUAL_BOUNDS = Bounds(20_000, 2_000, 10_000, 40_000, 0.001, 60_000)
 MAX_WAITING = 100.0  # requests queued at a node
 WINDOWS = 0.1, 0.5, 1.0, 2.0, 5.0  # seconds
 
@@ -28,7 +28,7 @@
     return rate * seconds * (1 + drift) + max(burst, nodes) + nodes
 
 
-def most_within(times: Sequence[float], window: float) -> int:
+def max_in_window(times: Sequence[float], window: float) -> int:
     """Returns the largest number of the sorted times that lie in one window."""
     return max((bisect_right(times, at + window) - number for number, at in enumerate(times)), default=0)
 
@@ -104,7 +104,7 @@
         return [
             WindowCount(
                 seconds,
-                most_within(self.admitted, int(seconds * UNITS_PER_SECOND)),
+                max_in_window(self.admitted, int(seconds * UNITS_PER_SECOND)),
                 allowed(*limit, seconds),
             )
             for seconds in lengths
@@ -121,7 +121,7 @@
     return sum(shares) ** 2 / (len(shares) * squares) if squares else 1.0
 
 
-class WeighedReplicas(Replicas):
+class ByteCountingReplicas(Replicas):
     """Counts the bytes that each node sends, with headers."""
 
     def __init__(self, *arguments: Any, **options: Any) -> None:
@@ -135,7 +135,7 @@
         super().transmit(source, name, message)
 
 
-class LargeFleet(LimitedReplicas, WeighedReplicas):
+class LargeFleet(LimitedReplicas, ByteCountingReplicas):
     """A fleet too large to verify after every message: the total rate is verified ten times per second."""
 
     verified_at = -1
@@ -154,9 +154,9 @@
     again.
     """
     limit = Limit("any", per_node * count / 2, 4.0 * count)
-    fleet = LargeFleet(count, 5, seed, USUAL, limit)
+    fleet = LargeFleet(count, 5, seed, USUAL_BOUNDS, limit)
     fleet.loads = dict.fromkeys(fleet.names, per_node)
-    fleet.run(8 * USUAL.lease)
+    fleet.run(8 * USUAL_BOUNDS.lease)
     before = dict(fleet.admitted_by)
     fleet.bytes.clear()
     began = time.process_time()
@@ -193,11 +193,11 @@
 def leader_ms(count: int, limits: int = 1, times: int = 20) -> float:
     """Returns the processor time that the leader's granter takes per round of heartbeats, in ms."""
     many = [Limit(f"c{number}", 1000.0, 10.0) for number in range(limits)]
-    granter = QuotaLeaseGranter(many, count, USUAL, 0)
+    granter = QuotaLeaseGranter(many, count, USUAL_BOUNDS, 0)
     names = [f"n{number}" for number in range(count)]
     began = time.process_time()
     for number in range(times):
-        now = granter.silent_until + number * USUAL.heartbeat_interval
+        now = granter.silent_until + number * USUAL_BOUNDS.heartbeat_interval
         for position, name in enumerate(names):
             demand = Demand([(i, 5.0 + position % 7) for i in range(limits)], False, True)
             granter.on_demand(now, name, demand, now - 500)
--- a/basalthoist/emulator/storms.py
+++ b/basalthoist/emulator/storms.py
@@ -13,10 +13,10 @@
 from .replicas import Broken
 
 # Short times, so that a run covers many events; clocks drift by up to 10%.
-REGISTER = FleetBounds(
+REGISTER_BOUNDS = FleetBounds(
     lease=10_000, heartbeat_interval=1_500, fresh=5_000, stale=15_000, drift=0.1, call_timeout=30_000
 )
-SHORT = Bounds(
+SHORT_BOUNDS = Bounds(
     heartbeat=2_000,
     fresh=6_000,
     stale=15_000,
@@ -198,7 +198,7 @@
     seed: int, faults: int, gap: float = 0.0, make: dict[str, type] | None = None
 ) -> DistributionFaultInjector:
     """Runs random faults on a new world and returns the injector. Raises Broken."""
-    world = Distributed(12, (3, 5)[seed % 2], 2, seed, SHORT, REGISTER, make=make)
+    world = Distributed(12, (3, 5)[seed % 2], 2, seed, SHORT_BOUNDS, REGISTER_BOUNDS, make=make)
     for number, node in enumerate(world.nodes.values()):
         node.looked_up = [f"t{number % TENANTS}", f"t{(number + 5) % TENANTS}"]
     injector = DistributionFaultInjector(world, faults, gap=gap)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -8,7 +8,7 @@
 from basalthoist.commands.cli import main
 from basalthoist.decisions.balancer import Balancer
 from basalthoist.emulator import ramp
-from basalthoist.emulator.ramp import KNOWLEDGE, Arrival, Case, Ramp, Worst, judge, play
+from basalthoist.emulator.ramp import LOAD_KNOWLEDGE, Arrival, Case, Ramp, Worst, judge, play
 from basalthoist.emulator.scenario import Backends
 from basalthoist.experiments import cold_start
 from basalthoist.experiments.cold_start import TIGHT, Loopback
@@ -43,7 +43,7 @@
 
 def test_overload_excused_unless_two_thirds_come_from_informed_nodes():
     both = arrivals(*[0.1] * 20) + arrivals(*[0.0] * 10, informed=False)
-    assert worst_of(both).sent < 30.0 and worst_of(both, all_told=True).sent == 30.0
+    assert worst_of(both).sent < 30.0 and worst_of(both, include_excused=True).sent == 30.0
     assert worst_of(both + arrivals(0.2)).sent == 31.0  # now over two thirds from informed nodes
 
 
@@ -64,7 +64,7 @@
 HARD_CASES = [(1, "once"), (5, "late"), (20, "half"), (30, "half_warm"), (30, "once")]
 
 
-@pytest.mark.parametrize("knowledge", KNOWLEDGE)
+@pytest.mark.parametrize("knowledge", LOAD_KNOWLEDGE)
 @pytest.mark.parametrize("nodes, lists", HARD_CASES)
 def test_all_nodes_together_do_not_overload_cold_backend(nodes, lists, knowledge):
     case = Case(**TIGHT, nodes=nodes, knowledge=knowledge, lists=lists, burst=3.0, out=0.5)
@@ -87,7 +87,7 @@
 def test_table_can_be_rebuilt_from_raw_results(tmp_path, monkeypatch):
     path = tmp_path / "raw.csv"
     monkeypatch.setattr(cold_start, "NODES", (2,))
-    monkeypatch.setattr(cold_start, "KNOWLEDGE", ("neither",))
+    monkeypatch.setattr(cold_start, "LOAD_KNOWLEDGE", ("neither",))
     monkeypatch.setattr(cold_start, "KINDS", {"plain": {}})
     monkeypatch.setattr(ramp, "START_S", 2.0)
     first = CliRunner().invoke(main, ["cold-start", "--seeds", "1", "--processes", "2", "--into", str(path)])
