--- a/basalthoist/emulator/ramp.py
+++ b/basalthoist/emulator/ramp.py
@@ -21,8 +21,8 @@
 
 START_S = 6.0
 MIN_INFORMED_SHARE = 2 / 3  # fraction of an overload's work from informed nodes above which it counts
-# How the nodes learn of the start: all at once; up to 4 s late; half of them never, or as if it were
-# warm already.
+# How the nodes learn of the start: all at once; up to 4 s late; half of them never; half of them as if it
+# were warm already.
 LIST_UPDATES = ("once", "late", "half", "half_warm")
 LOAD_KNOWLEDGE = ("neither", "probes", "peers")
 
@@ -59,7 +59,7 @@
 ) -> Worst:
     """Finds the worst instant among the arrivals of the warm-up.
 
-    An overload is excused if too little of its work came from informed nodes; `include_excused` counts it too.
+    An overload is excused if too little of its work came from informed nodes; `include_excused` includes it.
     """
     window, ramp = int(terms.fall_s * SECOND), terms.warm_s * SECOND
     within: deque[Arrival] = deque()
@@ -82,7 +82,7 @@
 
 
 class Case(msgspec.Struct, frozen=True):
-    """A cold start in an emulated fleet. `lists` is one of LIST_UPDATES, `knowledge` one of LOAD_KNOWLEDGE."""
+    """A cold start in an emulated fleet. `lists`: see LIST_UPDATES; `knowledge`: see LOAD_KNOWLEDGE."""
 
     nodes: int = 30
     lists: str = "once"
--- a/basalthoist/emulator/replicas.py
+++ b/basalthoist/emulator/replicas.py
@@ -299,7 +299,7 @@
             raise Broken(f"{' and '.join(leading)} lead at once")
 
     def verify_view(self, node: ReplicaNode) -> None:
-        """Raises Broken if the node may act on a view older than the acknowledged one or the bound."""
+        """Raises Broken if the node may act on a view older than the acknowledged version or too stale."""
         version = node.replica.sets.applied.version
         if version < self.acknowledged:
             raise Broken(f"{node.name} may act on {version}, {self.acknowledged} was said to be in force")
--- a/basalthoist/emulator/scenario.py
+++ b/basalthoist/emulator/scenario.py
@@ -42,9 +42,7 @@
     warm_s: NonNegative = 8.0
     crowded_at: NonNegative = 0.0  # requests in flight per slot above which it slows down; 0: never
     crowded_factor: Annotated[float, msgspec.Meta(ge=1)] = 1.0
-    fall_multiple: Annotated[float, msgspec.Meta(ge=0)] = (
-        3.0  # 0: a backend never crashes from overload while it warms up
-    )
+    fall_multiple: Annotated[float, msgspec.Meta(ge=0)] = 3.0  # 0: warming backends never crash
     fall_s: Positive = 2.0
     reports: bool = True
     work_left_on_cancel: bool = True  # a cancelled request that already runs is finished anyway
@@ -118,9 +116,7 @@
     for_s: Positive = 5.0
     part: Annotated[float, msgspec.Meta(gt=0, le=1)] = 0.25
     location: int | None = None
-    factor: Positive = (
-        3.0  # slow: on service times; surge: on the rate; errors: 1/factor of the requests succeed
-    )
+    factor: Positive = 3.0  # slow: of service times; surge: of the rate; errors: 1/factor of requests succeed
 
     def __post_init__(self) -> None:
         if self.kind in ("slow", "surge") and self.factor < 1:
--- a/basalthoist/emulator/storms.py
+++ b/basalthoist/emulator/storms.py
@@ -216,7 +216,9 @@
             broken += 1
             print(f"seed {seed}: {error}", flush=True)
     count = last - first
-    print(f"{count} storms of {faults} faults, {versions} versions in those that held, {broken} broken")
+    print(
+        f"{count} runs of {faults} faults: {versions} versions in the successful runs, {broken} runs failed"
+    )
     return 1 if broken else 0
 
 
