--- a/basalthoist/emulator/replica_faults.py
+++ b/basalthoist/emulator/replica_faults.py
@@ -54,7 +54,7 @@
                 self.fleet.wake(name)
 
     def verify_recovery(self) -> None:
-        """Raises Broken unless a leader exists and all nodes apply one version, no older than acknowledged."""
+        """Raises Broken unless a leader exists and all nodes apply one version, the acknowledged or later."""
         fleet = self.fleet
         versions = {node.replica.sets.applied.version for node in fleet.replica_nodes.values()}
         if not fleet.leader() or len(versions) > 1:
