--- a/basalthoist/emulator/explore.py
+++ b/basalthoist/emulator/explore.py
@@ -25,7 +25,7 @@
 MAX_CHOICES = {"restart": 1, "call": 2, "freeze": 1, "cut": 2, "late": 1}  # how often each may happen
 
 
-class Steps(Replicas):
+class SteppedFleet(Replicas):
     """A fleet without a clock of its own: each step is chosen by the caller."""
 
     def __init__(self, count: int, bounds: Bounds = SMALL, make: type = Replica, seed: int = 1) -> None:
@@ -121,7 +121,7 @@
 
 def led(count: int, make: type = Replica, bounds: Bounds = SMALL, seed: int = 1) -> bytes:
     """Returns a start state: a leader is elected, and all nodes act on what it has committed."""
-    fleet = Steps(count, bounds, make, seed)
+    fleet = SteppedFleet(count, bounds, make, seed)
     while not fleet.leader() and fleet.at < 20 * bounds.lease:
         fleet.step("round")
     for _ in range(2):
