--- a/basalthoist/emulator/storms.py
+++ b/basalthoist/emulator/distribution_faults.py
@@ -1,6 +1,6 @@
 """Injects random faults into the simulated distribution.
 
-`python -m basalthoist.emulator.storms FIRST LAST` runs the seeds from FIRST up to LAST, without LAST.
+`python -m basalthoist.emulator.distribution_faults FIRST LAST` runs the seeds from FIRST to LAST - 1.
 """
 
 import sys
--- a/basalthoist/emulator/fleet.py
+++ b/basalthoist/emulator/fleet.py
@@ -11,10 +11,10 @@
 from .clients import ClientPopulation
 from .events import SECOND, Events
 from .faults import FaultTimeline
-from .ledger import RuleChecker
 from .network import Paths
 from .nodes import EmulatedNode
 from .results import Results
+from .rule_checker import RuleChecker
 from .scenario import SEMANTICS, Kind, Scenario
 
 MakePolicy = Callable[..., object]
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -30,13 +30,13 @@
 )
 from basalthoist.emulator import costs
 from basalthoist.emulator.distributed import Distributed, route, tenant
-from basalthoist.emulator.replicas import Broken
-from basalthoist.emulator.storms import (
+from basalthoist.emulator.distribution_faults import (
     REGISTER_BOUNDS,
     SHORT_BOUNDS,
     DistributionFaultInjector,
     run_random_faults,
 )
+from basalthoist.emulator.replicas import Broken
 
 LEASE = REGISTER_BOUNDS.lease
 
