--- a/basalthoist/emulator/ramp.py
+++ b/basalthoist/emulator/ramp.py
@@ -123,11 +123,11 @@
 
     def __init__(self, *arguments) -> None:
         super().__init__(*arguments)
-        self.arrivals: list[tuple[int, int, float]] = []  # time, request, work
+        self.arrived: list[tuple[int, int, float]] = []  # time, request, work
 
     def offer(self, job: Job) -> None:
         if self.started is not None:
-            self.arrivals.append((self.events.now, job.ident, job.work))
+            self.arrived.append((self.events.now, job.ident, job.work))
         super().offer(job)
 
 
@@ -188,7 +188,7 @@
                     work / mean,
                     self.start_known_at.get(self.rule_checker.records[ident].node, at) < at,
                 )
-                for at, ident, work in server.arrivals
+                for at, ident, work in server.arrived
             ]
             warm_rate = server.kind.slots * server.kind.speed * SECOND / mean
             found.append(judge(arrivals, server.started, terms, warm_rate, include_excused))
