--- a/basalthoist/experiments/soak/__init__.py
+++ b/basalthoist/experiments/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A soak test: one node as a real process under seeded troubles up to SIGKILL, judged from outside."""
+"""Soak test: one node as a real process under seeded faults up to SIGKILL, checked from outside."""
--- a/basalthoist/experiments/soak/discovery.py
+++ b/basalthoist/experiments/soak/discovery.py
@@ -1,7 +1,7 @@
-"""Discovery of a play, as a stand-in on sockets: a list, watches on it, and outages.
+"""Simulated discovery on sockets: an endpoint list, watches on it, and outages.
 
-It writes down when each change counts as told: once it is written to a watch; at the end of an outage in
-which discovery was silent; otherwise `TOLD_S` after a change could be had, at the latest.
+For each change the time from which the node must know it is recorded: when the change is written to a watch,
+at the end of a silent outage, or at the latest PROPAGATION_LIMIT_S after the change could be read.
 """
 
 import asyncio
@@ -10,28 +10,29 @@
 from collections.abc import Callable
 from typing import Protocol
 
-TOLD_S = 6.0  # the standing page: at the latest, after discovery had a change and could be reached
-HEARTBEAT_S = 2.0  # the protocol page
+# Documented limit: the node knows a change at the latest so long after discovery has it and can be reached.
+PROPAGATION_LIMIT_S = 6.0
+HEARTBEAT_S = 2.0  # interval from the protocol documentation
 SILENT, REFUSES, RESETS = "silent", "refuses", "resets"
 OUTAGES = (SILENT, REFUSES, RESETS)
-NO = b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"
+REJECTION = b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"
 
 
-class Notice(Protocol):
-    """Something of which the node is told; `told_at` is by the monotonic clock, in seconds."""
+class AnnouncedChange(Protocol):
+    """A change announced to the node. `announced_at`: when the node must know it, in monotonic seconds."""
 
-    told_at: float
+    announced_at: float
 
 
-def line_of(revision: int, members: list[dict], complete: bool) -> bytes:
+def encode_list(revision: int, members: list[dict], complete: bool) -> bytes:
     return json.dumps({"revision": revision, "complete": complete, "members": members}).encode() + b"\n"
 
 
-def chunk_of(data: bytes) -> bytes:
+def encode_chunk(data: bytes) -> bytes:
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-class Agent(asyncio.Protocol):
+class DiscoveryConnection(asyncio.Protocol):
     """A connection from the node."""
 
     def __init__(self, discovery: "Discovery") -> None:
@@ -39,102 +40,108 @@
 
     def connection_made(self, transport) -> None:
         self.transport = transport
-        self.discovery.agents.add(self)
+        self.discovery.connections.add(self)
 
-    def connection_lost(self, wrong) -> None:
-        self.discovery.agents.discard(self)
+    def connection_lost(self, error) -> None:
+        self.discovery.connections.discard(self)
         self.discovery.watches.discard(self)
 
     def data_received(self, data: bytes) -> None:
-        self.discovery.take(self, data)
+        self.discovery.on_data(self, data)
 
     def write(self, data: bytes) -> None:
         if not self.transport.is_closing():
             self.transport.write(data)
 
-    def beat(self) -> None:
+    def send_heartbeat(self) -> None:
         if self in self.discovery.watches:
             if self.discovery.outage != SILENT:
-                self.write(chunk_of(b"\n"))
-            asyncio.get_running_loop().call_later(HEARTBEAT_S, self.beat)
+                self.write(encode_chunk(b"\n"))
+            asyncio.get_running_loop().call_later(HEARTBEAT_S, self.send_heartbeat)
 
 
 class Discovery:
-    """`members` hands out the list as it is."""
+    """`members` returns the present endpoint list."""
 
     def __init__(self, members: Callable[[], list[dict]]) -> None:
         self.members, self.revision, self.outage = members, 1, ""
-        self.agents: set[Agent] = set()
-        self.watches: set[Agent] = set()
-        self.held: list[tuple[Agent, bytes]] = []  # calls that came while it was silent
-        self.changed: dict[str, dict] = {}  # members that changed since something was last told
-        self.untold: list[Notice] = []
+        self.connections: set[DiscoveryConnection] = set()
+        self.watches: set[DiscoveryConnection] = set()
+        # Received during a silent outage.
+        self.delayed_requests: list[tuple[DiscoveryConnection, bytes]] = []
+        self.changed_members: dict[str, dict] = {}  # by id, not yet written to a watch
+        self.unannounced: list[AnnouncedChange] = []
 
     async def listen(self) -> str:
-        """Returns the address."""
+        """Starts listening. Returns the address."""
         loop = asyncio.get_running_loop()
-        server = await loop.create_server(lambda: Agent(self), "127.0.0.1", 0)
+        server = await loop.create_server(lambda: DiscoveryConnection(self), "127.0.0.1", 0)
         return "{}:{}".format(*server.sockets[0].getsockname())
 
-    # Calls of the node.
+    # Requests of the node.
 
-    def take(self, agent: Agent, data: bytes) -> None:
+    def on_data(self, connection: DiscoveryConnection, data: bytes) -> None:
         if self.outage == SILENT:
-            self.held.append((agent, data))
+            self.delayed_requests.append((connection, data))
         elif self.outage == REFUSES:
-            agent.write(NO)
+            connection.write(REJECTION)
         elif self.outage == RESETS:
-            agent.transport.abort()
+            connection.transport.abort()
         else:
-            self.answer(agent, data)
+            self.answer(connection, data)
 
-    def answer(self, agent: Agent, data: bytes) -> None:
-        whole = line_of(self.revision, self.members(), complete=True)
+    def answer(self, connection: DiscoveryConnection, data: bytes) -> None:
+        full_list = encode_list(self.revision, self.members(), complete=True)
         if b"stream=1" not in data:
-            return agent.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(whole) + whole)
-        agent.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk_of(whole))
-        self.watches.add(agent)
-        agent.beat()
-        self.count_as_told(self.untold)
-
-    # What there is to tell.
-
-    def tell(self, member: dict, notice: Notice | None = None) -> None:
-        """Down every watch; during an outage, or where there is none, later."""
+            return connection.write(
+                b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(full_list) + full_list
+            )
+        connection.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + encode_chunk(full_list))
+        self.watches.add(connection)
+        connection.send_heartbeat()
+        self.mark_announced(self.unannounced)
+
+    # Changes and outages.
+
+    def announce(self, member: dict, change: AnnouncedChange | None = None) -> None:
+        """Writes a change to every watch, or later where an outage is under way or no watch is open."""
         self.revision += 1
-        self.changed[member["id"]] = member
-        if notice is not None:
-            self.untold.append(notice)
+        self.changed_members[member["id"]] = member
+        if change is not None:
+            self.unannounced.append(change)
         if not self.outage:
             self.flush()
 
     def flush(self) -> None:
-        if self.changed and self.watches:
-            line = line_of(self.revision, list(self.changed.values()), complete=False)
-            for agent in self.watches:
-                agent.write(chunk_of(line))
-            self.changed.clear()
-            self.count_as_told(self.untold)
-
-    def count_as_told(self, notices: list[Notice]) -> None:
+        if self.changed_members and self.watches:
+            line = encode_list(self.revision, list(self.changed_members.values()), complete=False)
+            for connection in self.watches:
+                connection.write(encode_chunk(line))
+            self.changed_members.clear()
+            self.mark_announced(self.unannounced)
+
+    def mark_announced(self, changes: list[AnnouncedChange]) -> None:
         at = time.monotonic()
-        for notice in notices:
-            notice.told_at = min(notice.told_at, at)
-        self.untold = [notice for notice in self.untold if notice not in notices]
+        for change in changes:
+            change.announced_at = min(change.announced_at, at)
+        self.unannounced = [change for change in self.unannounced if change not in changes]
 
-    async def fail(self, outage: str, for_s: float) -> None:
-        """An outage, and the return."""
+    async def run_outage(self, outage: str, for_s: float) -> None:
+        """Starts an outage of that kind and ends it after `for_s` seconds."""
         self.outage = outage
         if outage != SILENT:
-            for agent in list(self.agents):
-                agent.transport.abort()
+            for connection in list(self.connections):
+                connection.transport.abort()
         await asyncio.sleep(for_s)
         self.outage = ""
-        held, self.held = self.held, []
+        delayed_requests, self.delayed_requests = self.delayed_requests, []
         self.flush()
         if outage == SILENT:
-            # What it gets at the return counts at once, whether or not a watch is open.
-            self.count_as_told(self.untold)
-        for agent, data in held:
-            self.answer(agent, data)
-        asyncio.get_running_loop().call_later(TOLD_S, self.count_as_told, list(self.untold))
+            # Delayed requests are answered below, so the node must know all changes from here on, whether or
+            # not a watch is open.
+            self.mark_announced(self.unannounced)
+        for connection, data in delayed_requests:
+            self.answer(connection, data)
+        asyncio.get_running_loop().call_later(
+            PROPAGATION_LIMIT_S, self.mark_announced, list(self.unannounced)
+        )
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: fixed seeds keep every rule, and a program with one rule broken is found out."""
+"""Soak test: runs of fixed seeds break no rule, and each variant with one rule broken is detected."""
 
 from itertools import islice
 
@@ -6,25 +6,25 @@
 from click.testing import CliRunner
 
 from basalthoist.commands.cli import main
-from basalthoist.experiments.soak.broken import VARIANTS, replace
+from basalthoist.experiments.soak.broken import VARIANTS, replace_method
 from basalthoist.experiments.soak.discovery import OUTAGES, SILENT
-from basalthoist.experiments.soak.judge import allowed, judge
+from basalthoist.experiments.soak.judge import check_run, max_requests
 from basalthoist.experiments.soak.plan import Plan, drawn
 from basalthoist.experiments.soak.playing import play
 from basalthoist.experiments.soak.record import Attempt, Record, Request
 
-PLAYS = 8  # in which a broken variant has to be found
+MAX_RUNS = 8  # a broken variant has to be detected within so many
 
 
 @pytest.mark.parametrize("seed", range(1, 13))
-def test_a_play_keeps_every_rule(seed):
+def test_run_breaks_no_rule(seed):
     result = play(drawn(seed))
     assert result.breaks == [], (result.paths, result.log)
     assert result.answered > 50
 
 
-def lets_it_show(name: str, plan: Plan) -> bool:
-    """Whether what is broken matters in this play at all: another play says nothing about the soak."""
+def can_show_fault(name: str, plan: Plan) -> bool:
+    """Returns whether the plan has the faults in which the broken rule can show at all."""
     if name == "forgets_drains":
         return any(
             e.kind == "drain" and e.at_s < plan.load_s - 1 and e.for_s > plan.grace_s + 0.2
@@ -36,84 +36,85 @@
         missed = any(e.for_s > 2.5 and e.at_s < at_s < e.at_s + e.for_s for e in silent for at_s in drains)
         return missed and plan.grace_s <= 0.5 and plan.clients >= 12
     if name == "knows_no_cold":
-        cold = [e for e in plan.events if e.kind == "restart" and e.at_s + e.for_s + 1.2 < plan.load_s]
-        return bool(cold) and plan.clients == 24 and not any(e.backend == -1 for e in plan.events)
+        cold_start = [e for e in plan.events if e.kind == "restart" and e.at_s + e.for_s + 1.2 < plan.load_s]
+        return bool(cold_start) and plan.clients == 24 and not any(e.backend == -1 for e in plan.events)
     if name in ("repeats_late", "repeats"):
         slow = any(e.kind == "reset" and e.value > 150 and e.for_s > 0.5 for e in plan.events)
         return slow and plan.window_s == 0.4 and plan.deadline_s >= 0.9
     if name == "sends_for_who_left":
-        # Its deadline leaves time for another attempt after a reset that comes so late.
+        # The deadline leaves time for another attempt after so late a reset.
         late = any(e.kind == "reset" and e.value > 300 and e.for_s > 0.5 for e in plan.events)
-        return late and plan.leaving == 0.3 and plan.clients >= 12 and plan.deadline_s >= 0.9
+        return late and plan.early_disconnect_ratio == 0.3 and plan.clients >= 12 and plan.deadline_s >= 0.9
     if name == "keeps_connections":
-        return plan.leaving < 0.3 and plan.clients == 24
+        return plan.early_disconnect_ratio < 0.3 and plan.clients == 24
     return True
 
 
 @pytest.mark.parametrize("name", VARIANTS)
-def test_a_program_with_one_rule_broken_is_found_out(name):
+def test_broken_variant_is_detected(name):
     rule, _ = VARIANTS[name]
-    plans = (plan for plan in map(drawn, range(1, 100_000)) if lets_it_show(name, plan))
-    found = (one.rule for plan in islice(plans, PLAYS) for one in play(plan, name).breaks)
+    plans = (plan for plan in map(drawn, range(1, 100_000)) if can_show_fault(name, plan))
+    found = (violation.rule for plan in islice(plans, MAX_RUNS) for violation in play(plan, name).breaks)
     assert rule in found
 
 
-def test_a_variant_that_replaces_a_missing_method_fails():
+def test_replace_method_rejects_missing_method():
     class Owner:
-        def kept(self) -> int:
+        def method(self) -> int:
             return 1
 
-    replace(Owner, "kept", lambda self: 2)
-    assert Owner().kept() == 2
+    replace_method(Owner, "method", lambda self: 2)
+    assert Owner().method() == 2
     with pytest.raises(AttributeError):
-        replace(Owner, "gone", lambda self: 2)
-    assert not hasattr(Owner, "gone")
+        replace_method(Owner, "missing", lambda self: 2)
+    assert not hasattr(Owner, "missing")
 
 
-def test_a_seed_draws_the_same_play_again():
+def test_seed_determines_plan():
     assert [drawn(seed) for seed in range(50)] == [drawn(seed) for seed in range(50)]
     assert len({drawn(seed) for seed in range(50)}) == 50
 
 
-def test_the_figure_of_a_cold_start_is_the_pages():
+def test_max_requests_at_cold_start():
     n = 2.0 * 0.2 * 200.0
-    assert allowed(0.0) == n + 2 * n**0.5 + 2
+    assert max_requests(0.0) == n + 2 * n**0.5 + 2
 
 
 PLAN = Plan(1, 0.9, 0.4, 0.5, 3, 6, 0, 0.0, 2.0, (), ())
 
 
-def request_with(route, status, took_s, *came_s, **more):
-    attempts = [Attempt(0, 0, at, at, 0.1, False, 0.0) for at in came_s]
+def request(route, status, took_s, *received_s, **more):
+    attempts = [Attempt(0, 0, at, at, 0.1, False, 0.0) for at in received_s]
     return Request("r", route, 0.9, 0.0, False, 0.0, status, took_s, attempts=attempts, **more)
 
 
 @pytest.mark.parametrize(
     ("request_seen", "rules"),
     [
-        (request_with("read", 200, 0.2, 0.1), []),
-        (request_with("read", 503, 1.41, 0.1), ["lost"]),  # beyond half a second after its time
-        (request_with("read", 0, 0.01), []),  # a close that crossed it
-        (request_with("read", 0, 0.01, 0.005), ["lost"]),  # it had been sent on
-        (request_with("read", 0, 0.3), ["lost"]),
-        (request_with("read", 0, 0.01, killed=True), ["lost"]),
-        (request_with("pay", 502, 0.5, 0.1), []),
-        (request_with("pay", 503, 0.5, 0.1), ["duplicate"]),  # refused though it may have run
-        (request_with("pay", 200, 0.5, 0.1, 0.3), ["duplicate"]),
-        (request_with("mark", 200, 0.6, 0.1, 0.54), []),  # within the window and 50 ms
-        (request_with("mark", 200, 0.6, 0.1, 0.56), ["duplicate"]),
-        (request_with("mark", 503, 0.54, 0.1), []),
-        (request_with("mark", 503, 0.56, 0.1), ["duplicate"]),
-        (request_with("read", 0, 0.3, 0.39, left_at=0.3), []),
-        (request_with("read", 0, 0.3, 0.41, left_at=0.3), ["lost"]),  # begun 0.1 s after its client closed
+        (request("read", 200, 0.2, 0.1), []),
+        (request("read", 503, 1.41, 0.1), ["lost"]),  # more than 0.5 s after its deadline
+        (request("read", 0, 0.01), []),  # the close crossed the request
+        (request("read", 0, 0.01, 0.005), ["lost"]),  # an attempt had been sent
+        (request("read", 0, 0.3), ["lost"]),
+        (request("read", 0, 0.01, killed=True), ["lost"]),
+        (request("pay", 502, 0.5, 0.1), []),
+        (request("pay", 503, 0.5, 0.1), ["duplicate"]),  # rejected though it may have run
+        (request("pay", 200, 0.5, 0.1, 0.3), ["duplicate"]),
+        (request("mark", 200, 0.6, 0.1, 0.54), []),  # within the window and 50 ms
+        (request("mark", 200, 0.6, 0.1, 0.56), ["duplicate"]),
+        (request("mark", 503, 0.54, 0.1), []),
+        (request("mark", 503, 0.56, 0.1), ["duplicate"]),
+        (request("read", 0, 0.3, 0.39, disconnected_at=0.3), []),
+        # The attempt comes 0.11 s after its client disconnected.
+        (request("read", 0, 0.3, 0.41, disconnected_at=0.3), ["lost"]),
     ],
 )
-def test_the_judge(request_seen, rules):
+def test_check_run_finds_violations(request_seen, rules):
     record = Record({request_seen.ident: request_seen}, exit_code=0)
-    assert [one.rule for one in judge(PLAN, record)] == rules
+    assert [violation.rule for violation in check_run(PLAN, record)] == rules
 
 
-def test_the_command_plays_seeds_and_names_a_broken_rule():
+def test_command_reports_broken_rule_and_rejects_unknown_variant():
     done = CliRunner().invoke(main, ["soak", "--seeds", "1", "--first", "2", "--broken", "forgets_requests"])
     assert done.exit_code == 1
     assert "lost" in done.output and "sent as" in done.output
