--- a/basalthoist/experiments/soak/backends.py
+++ b/basalthoist/experiments/soak/backends.py
@@ -112,7 +112,7 @@
             loop.call_later(SERVICE_TIME_S, connection.respond, b"200 OK")
 
     async def restart(self, for_s: float) -> None:
-        """Aborts all connections; `for_s` later starts and announces a new incarnation on the same address."""
+        """Aborts all connections; `for_s` later starts and announces a new incarnation at that address."""
         self.server.close()
         for connection in list(self.connections):
             connection.transport.abort()
--- a/basalthoist/experiments/soak/judge.py
+++ b/basalthoist/experiments/soak/judge.py
@@ -28,8 +28,7 @@
 
 
 def check_run(plan: Plan, record: Record) -> list[Violation]:
-    requests = record.requests.values()
-    found = [violation for request in requests for violation in check_request(plan, request)]
+    found = [violation for request in record.requests.values() for violation in check_request(plan, request)]
     found += check_drains(plan, record)
     found += check_cold_starts(record)
     if record.unknown_ids:
@@ -156,8 +155,10 @@
             count = sum(at <= other < at + OVERLOAD_WINDOW_S for other in times[number:])
             age_s = at - cold_start.started_at
             if age_s < WARM_UP_S and count > max_requests(age_s):
-                backend = f"backend {cold_start.backend}, {age_s:.1f} s after its start"
-                what = f"{count} requests in {OVERLOAD_WINDOW_S} s at {backend}"
+                what = (
+                    f"{count} requests in {OVERLOAD_WINDOW_S} s at backend {cold_start.backend}, "
+                    f"{age_s:.1f} s after its start"
+                )
                 yield Violation("failback", received[number][0], what)
                 break
 
