--- a/basalthoist/experiments/cluster/cost.py
+++ b/basalthoist/experiments/cluster/cost.py
@@ -65,7 +65,7 @@
     return mine / seconds, sum(fleet.bytes.values()) / (nodes - 1) / seconds
 
 
-def change_ms(verdicts: int = 4096, times: int = 20) -> float:
+def verdict_change_ms(verdicts: int = 4096, times: int = 20) -> float:
     """Processor time of one change of a set of so many verdicts, at each node, in ms."""
     many = {("ban", f"s-{i:08x}"): Verdict("ban", f"s-{i:08x}", who="n12", why="operator")
             for i in range(verdicts)}  # fmt: skip
@@ -82,7 +82,7 @@
         return lambda *what: None
 
 
-def on_the_path(times: int = 200_000) -> float:
+def view_check_us(times: int = 200_000) -> float:
     """Microseconds that an exchange spends on asking whether its node's view still counts."""
     replica = Replica(Nobody(), "n0", ["n0", "n1", "n2"], ["n0", "n1", "n2"], USUAL, Lcg(1), boot_time_now())
     began = time.process_time()
--- a/basalthoist/experiments/cluster/faults.py
+++ b/basalthoist/experiments/cluster/faults.py
@@ -44,7 +44,7 @@
         self.environment = {"LD_PRELOAD": str(library()), "FAULTS_FILE": str(path)}
 
     @classmethod
-    def attached(cls) -> "Faults":
+    def of_this_process(cls) -> "Faults":
         """Those of this process itself, where it has been started with an `environment`."""
         faults = cls.__new__(cls)
         faults.open(Path(os.environ["FAULTS_FILE"]))
--- a/basalthoist/experiments/cluster/rig.py
+++ b/basalthoist/experiments/cluster/rig.py
@@ -20,7 +20,7 @@
 
 from ..loopback import (
     Clients,
-    Script,
+    ScriptedBackend,
     document_for,
     end_nodes,
     members_of,
@@ -35,7 +35,7 @@
 UNSEATS = ("kill", "freeze", "cut")
 
 
-class Ledger(Script):
+class Ledger(ScriptedBackend):
     """A backend that writes down what ran on it, when, and by which node: the request's id says that."""
 
     def __init__(self, scenario: Scenario, number: int, rig: "Rig") -> None:
@@ -215,7 +215,7 @@
         more = 1 if begins else -1
         for number in who:
             if event.kind == "hot":
-                self.clients[number].jump(event.times if begins else 1.0)
+                self.clients[number].set_rate_factor(event.times if begins else 1.0)
             elif event.kind == "fails":
                 self.failing[event.backend, number] += more
             else:
--- a/basalthoist/experiments/cluster/searching.py
+++ b/basalthoist/experiments/cluster/searching.py
@@ -13,7 +13,7 @@
 Judge = Callable[[Timeline], list[str]]
 
 
-def broken_by(told: Timeline) -> list[str]:
+def find_violations(told: Timeline) -> list[str]:
     return outcome(told)["broken"]
 
 
