--- a/basalthoist/experiments/cluster/__init__.py
+++ b/basalthoist/experiments/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""A rig: several processes of the program on loopback, with faults between and beneath them."""
+"""Runs several processes of the program on loopback, with injected faults of links and machines."""
--- a/basalthoist/experiments/cluster/account.py
+++ b/basalthoist/experiments/cluster/account.py
@@ -1,4 +1,4 @@
-"""Tables and a chart of many timelines, from their raw results alone."""
+"""Makes tables and charts of many timelines from their raw results alone."""
 
 from collections import Counter
 from pathlib import Path
@@ -9,13 +9,13 @@
 from basalthoist.experiments.charts import chart
 from basalthoist.experiments.running import RunError
 
-from .checker import WINDOWS
+from .checker import WINDOWS_S
 
 RAW = "raw.jsonl"
 
 
 def keep(folder: Path, result: dict) -> None:
-    """One line a timeline; the calls in full, so that every figure can be reckoned again."""
+    """Appends a result as one line. Calls are stored in full, so that every figure can be recomputed."""
     folder.mkdir(parents=True, exist_ok=True)
     with (folder / RAW).open("ab") as file:
         file.write(msgspec.json.encode(result) + b"\n")
@@ -24,13 +24,13 @@
 def results_in(folder: Path) -> list[dict]:
     try:
         return [msgspec.json.decode(line) for line in (folder / RAW).read_bytes().splitlines()]
-    except OSError as wrong:
-        raise RunError(f"{folder / RAW}: {wrong.strerror}") from None
-    except msgspec.DecodeError as wrong:
-        raise RunError(f"{folder / RAW}: {wrong}") from None
+    except OSError as error:
+        raise RunError(f"{folder / RAW}: {error.strerror}") from None
+    except msgspec.DecodeError as error:
+        raise RunError(f"{folder / RAW}: {error}") from None
 
 
-def spread(figures: list[float]) -> str:
+def percentiles(figures: list[float]) -> str:
     if not figures:
         return "none"
     ordered = sorted(figures)
@@ -43,57 +43,61 @@
 
 
 def write(folder: Path) -> None:
-    found = results_in(folder)
-    if not found:
+    results = results_in(folder)
+    if not results:
         raise RunError(f"{folder / RAW}: no results")
-    waits = [wait for result in found for wait in result["waits_s"]]
-    sends = [send for result in found for send in result["last_sends_s"]]
-    without = [wait for result in found for wait in result.get("without_author_s", ())]
+    waits = [wait for result in results for wait in result["waits_s"]]
+    sends = [send for result in results for send in result["last_sends_s"]]
+    leaderless_s = [wait for result in results for wait in result.get("without_author_s", ())]
     answers = Counter(call["text"].split(" ")[0] + (" shut out" if "shut out" in call["text"] else "")
-                      for result in found for call in result["calls"])  # fmt: skip
-    broken = [result for result in found if result["broken"]]
-    limited = [result["limit_parts"] for result in found if result.get("limit_parts")]
+                      for result in results for call in result["calls"])  # fmt: skip
+    broken = [result for result in results if result["broken"]]
+    limited = [result["limit_parts"] for result in results if result.get("limit_parts")]
     lines = [
-        f"{len(found)} timelines, {sum(len(r['calls']) for r in found)} calls, "
-        f"{sum(r['runs'] for r in found)} exchanges at backends; {len(broken)} timelines with a finding.", "",
+        f"{len(results)} timelines, {sum(len(r['calls']) for r in results)} calls, "
+        f"{sum(r['runs'] for r in results)} attempts at backends; {len(broken)} timelines with a finding.",
+        "",
         "| seconds | median | 90% | 99% | most |", "| --- | --- | --- | --- | --- |",
-        f"| from a call to `SUCCESS` | {spread(waits)} |",
-        f"| from a ban's call to the last send to that backend | {spread(sends)} |",
-        f"| without an author, once that was killed, frozen or cut off | {spread(without)} |",
+        f"| from a call to `SUCCESS` | {percentiles(waits)} |",
+        f"| from a ban's call to the last send to that backend | {percentiles(sends)} |",
+        f"| without an author, once that was killed, frozen or cut off | {percentiles(leaderless_s)} |",
         "", "| nodes | timelines | findings |", "| --- | --- | --- |",
     ]  # fmt: skip
-    for count in sorted({result["timeline"].get("nodes", 5) for result in found}):
-        mine = [result for result in found if result["timeline"].get("nodes", 5) == count]
-        lines.append(f"| {count} | {len(mine)} | {sum(bool(r['broken']) for r in mine)} |")
+    for count in sorted({result["timeline"].get("nodes", 5) for result in results}):
+        matching = [result for result in results if result["timeline"].get("nodes", 5) == count]
+        lines.append(f"| {count} | {len(matching)} | {sum(bool(r['broken']) for r in matching)} |")
     lines += [
         "",
         "| fault | timelines with it | findings |", "| --- | --- | --- |",
     ]  # fmt: skip
-    for kind in sorted({kind for result in found for kind in kinds_of(result)}):
-        mine = [result for result in found if kind in kinds_of(result)]
-        lines.append(f"| {kind} | {len(mine)} | {sum(bool(r['broken']) for r in mine)} |")
+    for kind in sorted({kind for result in results for kind in kinds_of(result)}):
+        matching = [result for result in results if kind in kinds_of(result)]
+        lines.append(f"| {kind} | {len(matching)} | {sum(bool(r['broken']) for r in matching)} |")
     if limited:
         lines += ["", "| window | timelines with a limit | most let in, as a part of the bound |"]
         lines.append("| --- | --- | --- |")
-        for number, window in enumerate(WINDOWS):
+        for number, window in enumerate(WINDOWS_S):
             lines.append(f"| {window:g} s | {len(limited)} | {max(parts[number] for parts in limited):.2f} |")
-    lines += ["", "Answers: " + ", ".join(f"{count} {what}" for what, count in sorted(answers.items())) + "."]
+    lines += [
+        "",
+        "Answers: " + ", ".join(f"{count} {answer}" for answer, count in sorted(answers.items())) + ".",
+    ]
     (folder / "table.md").write_text("\n".join(lines) + "\n")
-    chart_of_calls(folder, waits, sends, max(result["bound_s"] for result in found))
+    chart_of_calls(folder, waits, sends, max(result["bound_s"] for result in results))
     if limited:
-        chart_of_limits(folder, [result for result in found if result.get("limit_parts")])
+        chart_of_limits(folder, [result for result in results if result.get("limit_parts")])
 
 
-def chart_of_limits(folder: Path, found: list[dict]) -> None:
-    """What ran in each second of each timeline, as a part of its limit, and the bound for one second."""
+def chart_of_limits(folder: Path, results: list[dict]) -> None:
+    """Plots the requests of each second of each timeline over its limit, and the bound for one second."""
     bounds = []
     with chart(folder, "limits") as axes:
-        for result in found:
-            told = result["timeline"]
-            limit, drift = told["limit"], told.get("drift", 0.001)
+        for result in results:
+            timeline = result["timeline"]
+            limit, drift = timeline["limit"], timeline.get("drift", 0.001)
             parts = [count / limit for count in result["ran_s"]]
             axes.plot(parts, color="tab:blue", alpha=0.2, linewidth=0.8)
-            bounds.append(allowed(limit, told["burst"], told["nodes"], drift, 1.0) / limit)
+            bounds.append(allowed(limit, timeline["burst"], timeline["nodes"], drift, 1.0) / limit)
         axes.axhline(1.0, color="black", label="limit")
         label = "bound for one second, burst included"
         axes.axhline(min(bounds), color="black", linestyle="--", label=label)
--- a/basalthoist/experiments/cluster/faults.c
+++ b/basalthoist/experiments/cluster/faults.c
@@ -1,7 +1,7 @@
-/* Fault injection for one process, loaded by LD_PRELOAD: system calls that fail, fall short or are late.
+/* Fault injection for one process, loaded by LD_PRELOAD: system calls that fail, transfer less or are delayed.
  *
- * What fails is read from a shared page (struct control, the file FAULTS_FILE), which faults.py writes while
- * the process runs. Without a page every call goes through. Errors are those of the calls' manual pages.
+ * The faults are read from a shared page (struct control, the file FAULTS_FILE), which faults.py writes while
+ * the process runs. Without a page every call is passed on. Errors are those of the calls' manual pages.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -18,18 +18,18 @@
 #include <time.h>
 #include <unistd.h>
 
-/* In the order of faults.py: FIELDS. */
+/* In the order of FIELDS in faults.py. */
 struct control {
-    int64_t accept_errno, connect_errno, socket_errno; /* 0: the call goes through */
-    int64_t accept_left; /* accepts that fail before they go through again; 0: all */
+    int64_t accept_errno, connect_errno, socket_errno; /* 0: the call is passed on */
+    int64_t accept_left; /* accepts that fail before the fault ends; 0: all */
     int64_t sync_errno, write_errno;                   /* of regular files */
-    int64_t torn_bytes;  /* a write that fails leaves so many bytes behind */
+    int64_t torn_bytes;  /* bytes that a failing write still writes */
     int64_t wall_ms;     /* the wall clock is ahead by this */
-    int64_t hold_ms;     /* before a request's first bytes are written */
-    int64_t hold_every;  /* one such write in so many; 0: none */
-    int64_t read_errno, read_left; /* so many reads of sockets fail, then they go through again */
-    int64_t short_bytes; /* the most that one read or write of a socket carries; 0: all */
-    int64_t accepts, held, writes; /* counted: failed accepts, writes held up, requests written */
+    int64_t hold_ms;     /* delay before the first bytes of a request are written */
+    int64_t hold_every;  /* every how many such writes one is delayed; 0: none */
+    int64_t read_errno, read_left; /* read_left: reads of sockets that fail before the fault ends */
+    int64_t short_bytes; /* most bytes of one read or write of a socket; 0: no limit */
+    int64_t accepts, held, writes; /* counters: failed accepts, delayed writes, requests written */
 };
 
 static volatile struct control *page;
@@ -107,7 +107,7 @@
 }
 
 /* A request to a backend begins with its method; answers begin with "HTTP". */
-static void hold_up(const void *data, size_t length)
+static void delay_request_write(const void *data, size_t length)
 {
     if (page == NULL || length < 5)
         return;
@@ -121,7 +121,7 @@
     nanosleep(&span, NULL);
 }
 
-static size_t least(size_t length)
+static size_t limited_length(size_t length)
 {
     size_t most = page != NULL && page->short_bytes > 0 ? (size_t)page->short_bytes : length;
     return length < most ? length : most;
@@ -131,8 +131,8 @@
 {
     REAL(write);
     if (is_kind(descriptor, S_IFSOCK)) {
-        hold_up(data, length);
-        return real(descriptor, data, least(length));
+        delay_request_write(data, length);
+        return real(descriptor, data, limited_length(length));
     }
     if (page != NULL && page->write_errno != 0 && is_kind(descriptor, S_IFREG) && descriptor > 2) {
         if (page->torn_bytes > 0)
@@ -147,7 +147,7 @@
 {
     REAL(writev);
     if (count > 0 && is_kind(descriptor, S_IFSOCK)) {
-        hold_up(parts[0].iov_base, parts[0].iov_len);
+        delay_request_write(parts[0].iov_base, parts[0].iov_len);
         if (page->short_bytes > 0)
             return write(descriptor, parts[0].iov_base, parts[0].iov_len);
     }
@@ -158,7 +158,7 @@
 {
     REAL(sendmsg);
     if (message->msg_iovlen > 0 && is_kind(descriptor, S_IFSOCK))
-        hold_up(message->msg_iov[0].iov_base, message->msg_iov[0].iov_len);
+        delay_request_write(message->msg_iov[0].iov_base, message->msg_iov[0].iov_len);
     return real(descriptor, message, flags);
 }
 
@@ -167,7 +167,7 @@
     REAL(read);
     if (!is_kind(descriptor, S_IFSOCK))
         return real(descriptor, data, length);
-    ssize_t got = real(descriptor, data, least(length));
+    ssize_t got = real(descriptor, data, limited_length(length));
     if (got >= 0 && page->read_errno != 0 && page->read_left > 0) {
         page->read_left--;
         errno = (int)page->read_errno;
--- a/basalthoist/experiments/cluster/faults.py
+++ b/basalthoist/experiments/cluster/faults.py
@@ -1,4 +1,4 @@
-"""Fault injection into the system calls of a process that runs: the page that `faults.c` reads.
+"""Fault injection into the system calls of a running process, through a memory page that `faults.c` reads.
 
 The library is compiled with the machine's C compiler on first use.
 """
@@ -21,12 +21,12 @@
 
 @cache
 def library() -> Path:
-    """The compiled library. Raises subprocess.CalledProcessError where it does not compile."""
+    """Returns the path of the compiled library. Raises subprocess.CalledProcessError if compiling fails."""
     folder = Path(tempfile.gettempdir()) / f"basalthoist-faults-{os.getuid()}"
     folder.mkdir(exist_ok=True)
     target = folder / f"faults-{SOURCE.stat().st_mtime_ns}.so"
     if not target.exists():
-        # Replaced at the end: several processes may compile at once.
+        # Several processes may compile at once: each writes a file of its own and renames it.
         made = folder / f"{target.name}.{os.getpid()}"
         command = ["cc", "-O2", "-shared", "-fPIC", "-o", str(made), str(SOURCE), "-ldl"]
         subprocess.run(command, check=True, capture_output=True)
@@ -35,7 +35,7 @@
 
 
 class Faults:
-    """The faults of one process. `environment` is what it has to be started with."""
+    """The faults of one process, which has to be started with the variables in `environment`."""
 
     def __init__(self, folder: Path) -> None:
         path = folder / "faults"
@@ -45,7 +45,7 @@
 
     @classmethod
     def of_this_process(cls) -> "Faults":
-        """Those of this process itself, where it has been started with an `environment`."""
+        """Returns the faults of this process, which must have been started with an `environment`."""
         faults = cls.__new__(cls)
         faults.open(Path(os.environ["FAULTS_FILE"]))
         return faults
@@ -55,12 +55,12 @@
             self.page = mmap.mmap(file.fileno(), 0)
 
     def set(self, **values: int) -> None:
-        """Names are those of `FIELDS`; what is not named stays as it is."""
+        """Sets fields by their names in `FIELDS`; other fields keep their values."""
         for name, value in values.items():
             FIELD.pack_into(self.page, FIELDS.index(name) * FIELD.size, value)
 
     def clear(self) -> None:
-        """Every call goes through again. Counts stay."""
+        """Ends all faults. Counters keep their values."""
         self.set(**dict.fromkeys(FIELDS[: FIELDS.index("accepts")], 0))
 
     def get(self, name: str) -> int:
--- a/basalthoist/experiments/cluster/launcher.py
+++ b/basalthoist/experiments/cluster/launcher.py
@@ -1,10 +1,10 @@
-"""`python -m basalthoist.experiments.cluster.launcher`: the program in this process, on a machine that lies.
+"""`python -m basalthoist.experiments.cluster.launcher`: the program with simulated faults of disk and clocks.
 
 `RIG_LIES` holds JSON: `disk`, `rate`, `wall_s` (see `timeline.Machine`). File calls of the operating system
-and the clocks are wrapped before the program is loaded; only files in `$TMPDIR` are met.
+and the clocks are wrapped before the program is loaded; disk faults apply only to files in `$TMPDIR`.
 
-A disk that forgets keeps, beside each file, what a crash would leave: what was there before. The next start
-of the same machine finds that, as after a power cut.
+The fault "forgets" simulates lost writes: the previous content of each file is saved, and the next start of
+the same node restores that content, as after a power cut.
 """
 
 import builtins
@@ -19,100 +19,104 @@
 
 
 class Disk:
-    def __init__(self, folder: str, lie: str) -> None:
-        self.folder, self.lie = Path(folder).resolve(), lie
+    def __init__(self, folder: str, fault: str) -> None:
+        self.folder, self.fault = Path(folder).resolve(), fault
         self.open, self.replace, self.fsync = builtins.open, os.replace, os.fsync
 
-    def ours(self, path) -> bool:
+    def applies_to(self, path) -> bool:
         return isinstance(path, str | os.PathLike) and Path(path).resolve().parent == self.folder
 
-    def wake(self) -> None:
-        """What the crash has left."""
-        for kept in sorted((self.folder / DURABLE).glob("*")):
-            target = self.folder / kept.name
-            if kept.stat().st_size:
-                target.write_bytes(kept.read_bytes())
+    def restore_after_crash(self) -> None:
+        """Restores the files as a power cut would leave them."""
+        for saved in sorted((self.folder / DURABLE).glob("*")):
+            target = self.folder / saved.name
+            if saved.stat().st_size:
+                target.write_bytes(saved.read_bytes())
             elif target.exists():
                 target.unlink()
 
-    def wrap(self) -> None:
+    def install(self) -> None:
         import io
 
-        io.open = builtins.open = self.opens
-        os.replace, os.fsync = self.replaces, self.syncs
+        io.open = builtins.open = self.open_with_fault
+        os.replace, os.fsync = self.replace_with_fault, self.sync_with_fault
 
-    def opens(self, path, mode="r", *more, **named):
-        if self.lie == "bad_read" and self.ours(path) and "r" in mode:
-            raise OSError(errno.EIO, "the rig's disk", str(path))
-        if self.lie == "no_space" and self.ours(path) and "w" in mode:
-            raise OSError(errno.ENOSPC, "the rig's disk", str(path))
+    def open_with_fault(self, path, mode="r", *more, **named):
+        if self.fault == "bad_read" and self.applies_to(path) and "r" in mode:
+            raise OSError(errno.EIO, "simulated disk fault", str(path))
+        if self.fault == "no_space" and self.applies_to(path) and "w" in mode:
+            raise OSError(errno.ENOSPC, "simulated disk fault", str(path))
         return self.open(path, mode, *more, **named)
 
-    def syncs(self, descriptor: int) -> None:
-        if self.lie == "bad_write":
-            raise OSError(errno.EIO, "the rig's disk")
-        if self.lie == "slow":
+    def sync_with_fault(self, descriptor: int) -> None:
+        if self.fault == "bad_write":
+            raise OSError(errno.EIO, "simulated disk fault")
+        if self.fault == "slow":
             time.sleep(5)
-        if self.lie != "forgets":
+        if self.fault != "forgets":
             self.fsync(descriptor)
 
-    def replaces(self, source, target, **named) -> None:
-        if self.ours(target):
+    def replace_with_fault(self, source, target, **named) -> None:
+        if self.applies_to(target):
             target = Path(target)
             data = Path(source).read_bytes()
-            if self.lie == "forgets":
-                self.remember(target)
-            elif self.lie == "torn":
+            if self.fault == "forgets":
+                self.save_previous(target)
+            elif self.fault == "torn":
                 Path(source).write_bytes(data[: len(data) // 2])
-            elif self.lie == "flip" and data:
+            elif self.fault == "flip" and data:
                 at = len(data) // 3
                 Path(source).write_bytes(data[:at] + bytes([data[at] ^ 4]) + data[at + 1 :])
         self.replace(source, target, **named)
 
-    def remember(self, target: Path) -> None:
-        kept = self.folder / DURABLE / target.name
-        if not kept.exists():  # as it was when the machine last started
-            kept.parent.mkdir(exist_ok=True)
-            with self.open(kept, "wb") as file:
+    def save_previous(self, target: Path) -> None:
+        saved = self.folder / DURABLE / target.name
+        if not saved.exists():  # the first save since the last start is what that start found
+            saved.parent.mkdir(exist_ok=True)
+            with self.open(saved, "wb") as file:
                 file.write(target.read_bytes() if target.exists() else b"")
 
 
 class Clocks:
-    """Rates count from now on. The hand of the wall clock goes there and back."""
+    """Clocks that run at `rate` from now on; the wall clock steps by `wall_s` and back every two seconds."""
 
     def __init__(self, rate: float, wall_s: float) -> None:
-        self.rate, self.wall = rate, int(wall_s * 1e9)
-        self.gettime, self.monotonic, self.wall_time = time.clock_gettime_ns, time.monotonic_ns, time.time_ns
-        self.began = self.monotonic()
+        self.rate, self.wall_step_ns = rate, int(wall_s * 1e9)
+        self.gettime, self.monotonic, self.real_time_ns = (
+            time.clock_gettime_ns,
+            time.monotonic_ns,
+            time.time_ns,
+        )
+        self.started_ns = self.monotonic()
 
-    def stretched(self, at: int, began: int) -> int:
-        return began + int((at - began) * self.rate)
+    def scaled(self, at: int, started_ns: int) -> int:
+        return started_ns + int((at - started_ns) * self.rate)
 
-    def wrap(self) -> None:
-        boot_began = self.gettime(time.CLOCK_BOOTTIME)
+    def install(self) -> None:
+        boot_started_ns = self.gettime(time.CLOCK_BOOTTIME)
 
         def gettime(which: int) -> int:
             at = self.gettime(which)
-            return self.stretched(at, boot_began) if which == time.CLOCK_BOOTTIME else at
+            return self.scaled(at, boot_started_ns) if which == time.CLOCK_BOOTTIME else at
 
-        def wall() -> int:
-            stepped = self.wall if (self.monotonic() - self.began) // 2_000_000_000 % 2 else 0
-            return self.wall_time() + stepped
+        def wall_time_ns() -> int:
+            step_ns = self.wall_step_ns if (self.monotonic() - self.started_ns) // 2_000_000_000 % 2 else 0
+            return self.real_time_ns() + step_ns
 
         time.clock_gettime_ns = gettime
-        time.monotonic_ns = lambda: self.stretched(self.monotonic(), self.began)
-        time.time_ns = wall
+        time.monotonic_ns = lambda: self.scaled(self.monotonic(), self.started_ns)
+        time.time_ns = wall_time_ns
 
 
 def main() -> int:
-    lies = json.loads(os.environ.pop("RIG_LIES", "{}"))
+    faults = json.loads(os.environ.pop("RIG_LIES", "{}"))
     folder = os.environ.get("TMPDIR", "")
     if folder:
-        disk = Disk(folder, lies.get("disk", ""))
-        disk.wake()
-        if disk.lie:
-            disk.wrap()
-    Clocks(lies.get("rate", 1.0), lies.get("wall_s", 0.0)).wrap()
+        disk = Disk(folder, faults.get("disk", ""))
+        disk.restore_after_crash()
+        if disk.fault:
+            disk.install()
+    Clocks(faults.get("rate", 1.0), faults.get("wall_s", 0.0)).install()
     from basalthoist.start import serve_by
 
     return serve_by()
--- a/basalthoist/experiments/cluster/searching.py
+++ b/basalthoist/experiments/cluster/searching.py
@@ -1,4 +1,4 @@
-"""Draws timelines from seeds until the time is up; one that breaks a promise is shrunk to its least."""
+"""Runs timelines generated from seeds for a given time, and shrinks one with a violation."""
 
 import time
 from collections.abc import Callable, Iterator
@@ -10,49 +10,52 @@
 from .rig import play
 from .timeline import Timeline, drawn
 
-Judge = Callable[[Timeline], list[str]]
+Check = Callable[[Timeline], list[str]]
 
 
-def find_violations(told: Timeline) -> list[str]:
-    return outcome(told)["broken"]
+def find_violations(timeline: Timeline) -> list[str]:
+    return run_timeline(timeline)["broken"]
 
 
-def outcome(told: Timeline) -> dict:
-    """What came of it. A rig that fails counts as broken, or what it fails by would never be found."""
+def run_timeline(timeline: Timeline) -> dict:
+    """Returns the result of a timeline. A failure of the rig counts as a violation, to be reported."""
     try:
-        return play(told)
-    except (OSError, RuntimeError) as wrong:
-        return {"broken": [f"the rig: {wrong}"], "timeline": msgspec.to_builtins(told)}
+        return play(timeline)
+    except (OSError, RuntimeError) as error:
+        return {"broken": [f"rig failed: {error}"], "timeline": msgspec.to_builtins(timeline)}
 
 
-def least(told: Timeline, breaks: Judge, say: Callable[[str], None] = lambda line: None) -> Timeline:
-    """The timeline without whatever it breaks without, and with faults half as long where that does."""
-    going = True
-    while going:
-        going = False
+def least(timeline: Timeline, find: Check, say: Callable[[str], None] = lambda line: None) -> Timeline:
+    """Returns the shortest timeline found that still has a violation.
+
+    Removes each event, machine and ban that is not needed for it, and halves the duration of the faults.
+    """
+    has_shrunk = True
+    while has_shrunk:
+        has_shrunk = False
         for key in ("events", "machines", "bans"):
-            for number in range(len(getattr(told, key)) - 1, -1, -1):
-                rest = getattr(told, key)[:number] + getattr(told, key)[number + 1 :]
-                fewer = msgspec.structs.replace(told, **{key: rest})
-                if breaks(fewer):
-                    told, going = fewer, True
-                    say(f"breaks without {key}[{number}] too")
-    for number, event in enumerate(told.events):
+            for number in range(len(getattr(timeline, key)) - 1, -1, -1):
+                remaining = getattr(timeline, key)[:number] + getattr(timeline, key)[number + 1 :]
+                candidate = msgspec.structs.replace(timeline, **{key: remaining})
+                if find(candidate):
+                    timeline, has_shrunk = candidate, True
+                    say(f"violation remains without {key}[{number}]")
+    for number, event in enumerate(timeline.events):
         shorter = msgspec.structs.replace(event, for_s=event.for_s / 2)
-        events = [*told.events[:number], shorter, *told.events[number + 1 :]]
-        fewer = msgspec.structs.replace(told, events=events)
-        if breaks(fewer):
-            told = fewer
-    return told
+        events = [*timeline.events[:number], shorter, *timeline.events[number + 1 :]]
+        candidate = msgspec.structs.replace(timeline, events=events)
+        if find(candidate):
+            timeline = candidate
+    return timeline
 
 
 def search(first: int, count: int, seconds: float, processes: int) -> Iterator[dict]:
-    """Results in the order of their seeds; none is begun after `seconds`."""
+    """Yields results in the order of their seeds. Starts no run after `seconds`."""
     until = time.monotonic() + seconds
     with ProcessPoolExecutor(processes) as pool:
         seeds = iter(range(first, first + count))
-        waiting = [pool.submit(outcome, drawn(seed)) for seed in islice(seeds, processes)]
+        waiting = [pool.submit(run_timeline, drawn(seed)) for seed in islice(seeds, processes)]
         while waiting:
             yield waiting.pop(0).result()
             if time.monotonic() < until and (seed := next(seeds, None)) is not None:
-                waiting.append(pool.submit(outcome, drawn(seed)))
+                waiting.append(pool.submit(run_timeline, drawn(seed)))
--- a/basalthoist/experiments/cluster/show.py
+++ b/basalthoist/experiments/cluster/show.py
@@ -1,4 +1,4 @@
-"""What `python -m basalthoist fleet` plays: a fleet on loopback, bans, a cut and a freeze."""
+"""The timeline that `python -m basalthoist fleet` runs: a fleet on loopback, bans, a cut and a freeze."""
 
 import asyncio
 import re
@@ -9,7 +9,7 @@
 from .timeline import Ban, Event, Timeline
 
 ACTS = re.compile(r"(n\d+): fleet: acts on version (\d+)")
-MODE = re.compile(r"(n\d+): (view (?:stale|confirmed), version \d+.*|author .*)")
+VIEW_CHANGE = re.compile(r"(n\d+): (view (?:stale|confirmed), version \d+.*|author .*)")
 
 TOLD = Timeline(
     name="shown", length_s=17.0,
@@ -19,30 +19,30 @@
 
 
 class Watcher:
-    """Reads the nodes' logs as they grow: for the reader only, the judge goes by the ledgers."""
+    """Prints changes of views from the nodes' logs. The checks do not use logs."""
 
     def __init__(self, rig: Rig, say) -> None:
-        self.rig, self.say, self.read = rig, say, {}
+        self.rig, self.say, self.positions = rig, say, {}
 
     async def watch(self) -> None:
         while True:
             await asyncio.sleep(0.05)
             for node in self.rig.nodes:
-                if node.lives:
-                    self.look(node)
+                if node.incarnation:
+                    self.read_new_lines(node)
 
-    def look(self, node) -> None:
-        key, data = (node.number, node.lives), node.log.read_text(errors="replace")
-        for line in data[self.read.get(key, 0) :].splitlines():
+    def read_new_lines(self, node) -> None:
+        key, data = (node.number, node.incarnation), node.log.read_text(errors="replace")
+        for line in data[self.positions.get(key, 0) :].splitlines():
             if found := ACTS.match(line):
-                self.say(f"{self.rig.at():6.2f}   {found[1]} acts on version {found[2]}")
-            elif found := MODE.match(line):
-                self.say(f"{self.rig.at():6.2f}   {found[1]}: {found[2]}")
-        self.read[key] = len(data)
+                self.say(f"{self.rig.elapsed_s():6.2f}   {found[1]} acts on version {found[2]}")
+            elif found := VIEW_CHANGE.match(line):
+                self.say(f"{self.rig.elapsed_s():6.2f}   {found[1]}: {found[2]}")
+        self.positions[key] = len(data)
 
 
-async def shown(told: Timeline, folder: Path, say) -> dict:
-    rig = Rig(told, folder, say)
+async def run_watched(timeline: Timeline, folder: Path, say) -> dict:
+    rig = Rig(timeline, folder, say)
     watching = asyncio.create_task(Watcher(rig, say).watch())
     try:
         return await rig.play()
@@ -50,6 +50,6 @@
         watching.cancel()
 
 
-def show(told: Timeline, say) -> dict:
+def show(timeline: Timeline, say) -> dict:
     with tempfile.TemporaryDirectory(prefix="rig-") as folder:
-        return asyncio.run(shown(told, Path(folder), say))
+        return asyncio.run(run_watched(timeline, Path(folder), say))
