--- a/basalthoist/experiments/distributed/__init__.py
+++ b/basalthoist/experiments/distributed/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration in versions at full size: machines set aside are real processes, nodes are hollow."""
+"""Distribution of versioned configuration at full size, with real relay processes and hollow nodes."""
--- a/basalthoist/experiments/distributed/aside.py
+++ b/basalthoist/experiments/distributed/aside.py
@@ -1,7 +1,7 @@
-"""A machine set aside whose way to the others can be cut, for a run of this experiment.
+"""A relay process that can be partitioned from the other relay machines.
 
-The program's own `RelayProcess`. SIGUSR1 cuts it off from all others that are set aside: nothing goes out,
-what comes is not looked at, and no connection ends by it. SIGUSR2 lets it through again.
+Runs the program's own `RelayProcess`. After SIGUSR1 it neither sends to the other relay machines nor reads
+from them, and closes no connection. SIGUSR2 ends the partition.
 """
 
 import os
@@ -12,47 +12,49 @@
 from basalthoist.net.control.relay_process import RelayProcess, run
 
 
-class Severable(RelayProcess):
-    def __init__(self, told, loop, folder: str) -> None:
-        super().__init__(told, loop, folder)
-        self.severed = False
-        loop.add_signal_handler(signal.SIGUSR1, self.sever, True)
-        loop.add_signal_handler(signal.SIGUSR2, self.sever, False)
+class PartitionableRelay(RelayProcess):
+    def __init__(self, document, loop, folder: str) -> None:
+        super().__init__(document, loop, folder)
+        self.is_partitioned = False
+        loop.add_signal_handler(signal.SIGUSR1, self.set_partitioned, True)
+        loop.add_signal_handler(signal.SIGUSR2, self.set_partitioned, False)
         link = self.leader_link
-        self.connects, self.sends = link.connect, link.send
-        link.connect, link.send = self.connect, self.say
+        self.original_connect, self.original_send = link.connect, link.send
+        link.connect, link.send = self.connect, self.send_to_leader
         if self.voting is not None:
             voting = self.voting
-            self.posts, self.receives = voting.post, voting.datagram_received
-            voting.post = lambda *what: None if self.severed else self.posts(*what)
-            voting.datagram_received = lambda *what: None if self.severed else self.receives(*what)
-
-    def sever(self, on: bool) -> None:
-        self.severed = on
+            self.original_post, self.original_receive = voting.post, voting.datagram_received
+            voting.post = lambda *arguments: None if self.is_partitioned else self.original_post(*arguments)
+            voting.datagram_received = (
+                lambda *arguments: None if self.is_partitioned else self.original_receive(*arguments)
+            )
+
+    def set_partitioned(self, on: bool) -> None:
+        self.is_partitioned = on
         stream = self.leader_link.stream
         if stream is not None and stream.transport is not None and not stream.is_closed:
             (stream.transport.pause_reading if on else stream.transport.resume_reading)()
-        self.log("cut off" if on else "let through")
+        self.log("partitioned" if on else "partition ended")
 
     def connect(self, address: str) -> None:
-        if self.severed:
-            return self.leader_link.close()  # nobody answers, and nothing says so
-        self.connects(address)
+        if self.is_partitioned:
+            return self.leader_link.close()  # as for an address that does not answer
+        self.original_connect(address)
 
-    def say(self, message) -> None:
-        if not self.severed:
-            self.sends(message)
+    def send_to_leader(self, message) -> None:
+        if not self.is_partitioned:
+            self.original_send(message)
 
 
 def main() -> int:
     import uvloop
 
     try:
-        told = load_relay(sys.argv[1])
-    except ConfigurationError as wrong:
-        print(f"basalthoist: {wrong}", file=sys.stderr)
+        document = load_relay(sys.argv[1])
+    except ConfigurationError as error:
+        print(f"basalthoist: {error}", file=sys.stderr)
         return 2
-    uvloop.run(run(told, os.environ.get("TMPDIR", ""), Severable))
+    uvloop.run(run(document, os.environ.get("TMPDIR", ""), PartitionableRelay))
     return 0
 
 
--- a/basalthoist/experiments/distributed/real.py
+++ b/basalthoist/experiments/distributed/real.py
@@ -1,17 +1,17 @@
-"""Two real nodes beside the hollow ones: one that is told by a relay, and one without, to compare with."""
+"""Two real nodes beside the hollow nodes: one subscribes to a relay, and one does not, for comparison."""
 
 from pathlib import Path
 
 from basalthoist.addresses import address_of
 
 from ..loopback import end_nodes, open_discovery, own_address, ready, start_node
-from .processes import toml, usage
+from .processes import encode_toml, usage
 from .sizes import FLEET
 
 
 class Pair:
-    def __init__(self, folder: Path, made: dict, times: dict) -> None:
-        self.folder, self.made, self.times, self.processes = folder, made, times, []
+    def __init__(self, folder: Path, spec: dict, times: dict) -> None:
+        self.folder, self.spec, self.times, self.processes = folder, spec, times, []
 
     def document(self, name: str, discovery: str) -> dict:
         route = {"name": "any", "semantics": "idempotent", "overall_timeout": 2_000_000}
@@ -26,25 +26,27 @@
             folder, more = self.folder / name, {}
             folder.mkdir(parents=True)
             if name == "told":
-                keys = {"fleet": FLEET, "region": self.made["region"], "scopes": self.made["scopes"]}
-                (folder / "told.toml").write_text(toml(self.times | keys | {"seeds": self.made["seeds"]}))
+                keys = {"fleet": FLEET, "region": self.spec["region"], "scopes": self.spec["scopes"]}
+                (folder / "told.toml").write_text(
+                    encode_toml(self.times | keys | {"seeds": self.spec["seeds"]})
+                )
                 more = {"PROXY_DISTRIBUTION": str(folder / "told.toml")}
-            made = self.document(name, discovery)
-            process, log = await start_node(folder, name, made, TMPDIR=str(folder), **more)
+            document = self.document(name, discovery)
+            process, log = await start_node(folder, name, document, TMPDIR=str(folder), **more)
             self.processes.append(process)
-            await ready(address_of(made["listen"]), process, log)
+            await ready(address_of(document["listen"]), process, log)
 
     def read(self) -> dict:
         found = [usage(process.pid) for process in self.processes]
         return {"cpu_s": [cpu for cpu, _ in found], "memory_kb": [memory for _, memory in found]}
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
         await end_nodes(*self.processes)
 
 
 def difference(old: dict, new: dict, seconds: float) -> dict:
-    """What the one that is told spends: part of a core and megabytes, and how much more that is."""
+    """Returns the cores and megabytes of the subscribed node, and how much more these are than without."""
     cores = [(b - a) / seconds for a, b in zip(old["cpu_s"], new["cpu_s"], strict=True)]
-    told, alone = (memory / 1024 for memory in new["memory_kb"])
+    subscribed, alone = (memory / 1024 for memory in new["memory_kb"])
     return {"real_core": round(cores[0], 4), "real_core_more": round(cores[0] - cores[1], 4),
-            "real_mb": round(told, 1), "real_mb_more": round(told - alone, 1)}  # fmt: skip
+            "real_mb": round(subscribed, 1), "real_mb_more": round(subscribed - alone, 1)}  # fmt: skip
--- a/basalthoist/experiments/distributed/reporting.py
+++ b/basalthoist/experiments/distributed/reporting.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 FAULTS = ("relay_killed", "relay_frozen", "three_killed", "region_cut", "zone_started", "files", "behind")
-KEPT_BACK = ("nodes", "name", "began", "ended", "first_call", "rows", "late_p99_ms")
+OMITTED_KEYS = ("nodes", "name", "began", "ended", "first_call", "rows", "late_p99_ms")
 ALLOWED = "1.4% of a core, 32 MB, 3 kB/s; 4 s"
 
 
@@ -13,7 +13,7 @@
     return sorted(found, key=lambda run: (run["part"], run["size"]["nodes"], run["when"]))
 
 
-def at(ordered: list[float], part: float) -> float:
+def quantile(ordered: list[float], part: float) -> float:
     return ordered[int(part * (len(ordered) - 1))] if ordered else float("nan")
 
 
@@ -24,29 +24,32 @@
 
 
 def node_cost(phase: dict) -> dict:
-    """Of a hollow node: part of a core, bytes a second in and out: mean, 99th percentile, most."""
+    """Returns the cost of a hollow node: cores, and bytes a second in and out (mean, p99, most)."""
     workers = phase["nodes"]
     count = sum(worker["count"] for worker in workers)
-    both = sorted(i + o for worker in workers for i, o in zip(worker["in"], worker["out"], strict=True))
+    bytes_per_s = sorted(
+        i + o for worker in workers for i, o in zip(worker["in"], worker["out"], strict=True)
+    )
     core = sum(worker["core"] * worker["count"] for worker in workers) / max(count, 1)
-    held = sorted(n for worker in workers for n in worker["entries"])
+    entries = sorted(n for worker in workers for n in worker["entries"])
     tenants = sorted(n for worker in workers for n in worker["tenants"])
-    return {"core": core, "bytes": sum(both) / max(len(both), 1), "bytes_p99": at(both, 0.99),
-            "bytes_most": at(both, 1.0), "entries": at(held, 0.5), "tenants": at(tenants, 0.5)}  # fmt: skip
+    return {"core": core, "bytes": sum(bytes_per_s) / max(len(bytes_per_s), 1),
+            "bytes_p99": quantile(bytes_per_s, 0.99), "bytes_most": quantile(bytes_per_s, 1.0),
+            "entries": quantile(entries, 0.5), "tenants": quantile(tenants, 0.5)}  # fmt: skip
 
 
 def machine_costs(run: dict, began: float, ended: float) -> dict[str, dict]:
-    """By machine: mean and most (between two samples) part of a core, bytes out a second; kilobytes held."""
-    by: dict[str, list[dict]] = {}
+    """Returns by machine cores and bytes out a second (mean, most between samples), and kilobytes."""
+    rows_by_machine: dict[str, list[dict]] = {}
     for row in run["samples"]:
         if began <= row["at"] <= ended:
-            by.setdefault(row["name"], []).append(row)
+            rows_by_machine.setdefault(row["name"], []).append(row)
     found = {}
-    for name, rows in by.items():
+    for name, rows in rows_by_machine.items():
         cores, outs = [], []
         for old, new in zip(rows, rows[1:], strict=False):
             seconds = new["at"] - old["at"]
-            if new["cpu_s"] >= old["cpu_s"] and seconds > 0.05:  # else it has begun anew
+            if new["cpu_s"] >= old["cpu_s"] and seconds > 0.05:  # otherwise the process has restarted
                 cores.append((new["cpu_s"] - old["cpu_s"]) / seconds)
             if new.get("out", 0) >= old.get("out", 1 << 62):
                 outs.append((new["out"] - old["out"]) / seconds)
@@ -58,7 +61,7 @@
     return found
 
 
-def author_of(run: dict, before: float) -> str:
+def leader_of(run: dict, before: float) -> str:
     name = ""
     for event in run["events"]:
         if event["at"] <= before and event["what"] == "author":
@@ -94,11 +97,11 @@
 
 
 def machine_rows(run: dict, phase: dict, name: str) -> list[list[str]]:
-    costs, author = machine_costs(run, phase["began"], phase["ended"]), author_of(run, phase["began"])
-    others = [cost for machine, cost in costs.items() if machine != author]
+    costs, leader = machine_costs(run, phase["began"], phase["ended"]), leader_of(run, phase["began"])
+    others = [cost for machine, cost in costs.items() if machine != leader]
     rows, void = [], phase["void"] or "no"
-    if author in costs:
-        rows.append([name, phase["name"], "author", *cells([costs[author]]), void])
+    if leader in costs:
+        rows.append([name, phase["name"], "author", *cells([costs[leader]]), void])
     if others:
         rows.append([name, phase["name"], f"{len(others)} others", *cells(others), void])
     return rows
@@ -152,10 +155,12 @@
     for run in runs:
         for phase in run["phases"]:
             if phase["name"] in FAULTS:
-                shown = {key: value for key, value in phase.items() if key not in KEPT_BACK and value != ""}
-                said = ", ".join(f"{key} {value}" for key, value in shown.items())
+                shown = {
+                    key: value for key, value in phase.items() if key not in OMITTED_KEYS and value != ""
+                }
+                values = ", ".join(f"{key} {value}" for key, value in shown.items())
                 late = f"tool {phase['late_p99_ms']:.0f} ms late"
-                lines.append(f"- {run['size']['nodes']} nodes, **{phase['name']}**: {said}; {late}")
+                lines.append(f"- {run['size']['nodes']} nodes, **{phase['name']}**: {values}; {late}")
     lines.append("")
     text = "\n".join(lines)
     (folder / "table.md").write_text(text)
