--- a/basalthoist/experiments/cluster/checker.py
+++ b/basalthoist/experiments/cluster/checker.py
@@ -8,7 +8,7 @@
 from collections import Counter
 from typing import NamedTuple
 
-from basalthoist.emulator.rate_limits import allowed, most_within
+from basalthoist.emulator.rate_limits import allowed, max_in_window
 
 VERSION_ANSWER = re.compile(r"^(?:SUCCESS|FAILURE) version (\d+) ")
 SUCCESS = re.compile(r"^SUCCESS version (\d+) (?:in force )?at (\d+) of (\d+)")
@@ -76,7 +76,7 @@
     """
     times, results = first_runs(runs), []
     for window in WINDOWS_S:
-        most = most_within(times, window)
+        most = max_in_window(times, window)
         bound = allowed(
             timeline.limit, timeline.burst, timeline.nodes, timeline.drift, window + MAX_TRANSIT_S
         )
--- a/basalthoist/experiments/cluster/cost.py
+++ b/basalthoist/experiments/cluster/cost.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from basalthoist.decisions.random_numbers import Lcg
-from basalthoist.emulator.rate_limits import USUAL, WeighedReplicas
+from basalthoist.emulator.rate_limits import USUAL_BOUNDS, ByteCountingReplicas
 from basalthoist.fleet.replica import Replica
 from basalthoist.fleet.verdicts import Verdict, VerdictSet
 from basalthoist.net.runtime.timers import boot_time_now
@@ -61,8 +61,8 @@
 
 def words(nodes: int, seconds: int = 20) -> tuple[float, float]:
     """Returns the bytes a second of the leader and, as a mean, of the others, without changes or faults."""
-    fleet = WeighedReplicas(nodes, 5, 1, USUAL)
-    fleet.run(5 * USUAL.lease)
+    fleet = ByteCountingReplicas(nodes, 5, 1, USUAL_BOUNDS)
+    fleet.run(5 * USUAL_BOUNDS.lease)
     fleet.bytes.clear()
     fleet.run(fleet.at + seconds * 10_000)
     mine = fleet.bytes.pop(fleet.leader())
@@ -89,7 +89,7 @@
 def view_check_us(times: int = 200_000) -> float:
     """Returns the microseconds that a request spends on checking whether its node's view is confirmed."""
     replica = Replica(
-        NullHost(), "n0", ["n0", "n1", "n2"], ["n0", "n1", "n2"], USUAL, Lcg(1), boot_time_now()
+        NullHost(), "n0", ["n0", "n1", "n2"], ["n0", "n1", "n2"], USUAL_BOUNDS, Lcg(1), boot_time_now()
     )
     started_s = time.process_time()
     for _ in range(times):
--- a/basalthoist/experiments/cluster/launcher.py
+++ b/basalthoist/experiments/cluster/launcher.py
@@ -117,9 +117,9 @@
         if disk.fault:
             disk.install()
     Clocks(faults.get("rate", 1.0), faults.get("wall_s", 0.0)).install()
-    from basalthoist.start import serve_by
+    from basalthoist.start import run_node
 
-    return serve_by()
+    return run_node()
 
 
 if __name__ == "__main__":
--- a/basalthoist/experiments/soak/broken.py
+++ b/basalthoist/experiments/soak/broken.py
@@ -192,10 +192,10 @@
 
 
 def main() -> int:
-    from basalthoist.start import serve_by
+    from basalthoist.start import run_node
 
     VARIANTS[sys.argv[1]][1]()
-    return serve_by()
+    return run_node()
 
 
 if __name__ == "__main__":
