--- a/basalthoist/experiments/cluster/launcher.py
+++ b/basalthoist/experiments/cluster/launcher.py
@@ -71,7 +71,7 @@
 
     def save_previous(self, target: Path) -> None:
         saved = self.folder / DURABLE / target.name
-        if not saved.exists():  # the first save since the last start is what that start found
+        if not saved.exists():  # only the first since the start: a crash leaves what the start found
             saved.parent.mkdir(exist_ok=True)
             with self.open(saved, "wb") as file:
                 file.write(target.read_bytes() if target.exists() else b"")
--- a/basalthoist/experiments/soak/backends.py
+++ b/basalthoist/experiments/soak/backends.py
@@ -101,7 +101,7 @@
         loop = asyncio.get_running_loop()
         if self.fault == "hang":
             return
-        if self.fault == "turn_away" or self.phase != "ready":
+        if self.fault == "reject" or self.phase != "ready":
             attempt.outcome = NEVER_RAN
             connection.respond(b"503 Full", b"Not-Started: 1\r\n")
         elif self.fault == "reset":
--- a/basalthoist/experiments/soak/judge.py
+++ b/basalthoist/experiments/soak/judge.py
@@ -110,6 +110,7 @@
 
 
 def attempts_at(record: Record, backend: int) -> list[tuple[str, Attempt]]:
+    """Returns the attempts at a backend with the ids of their requests, by the time of their first byte."""
     found = [(r.ident, a) for r in record.requests.values() for a in r.attempts if a.backend == backend]
     return sorted(found, key=lambda pair: pair[1].first_byte_at)
 
--- a/basalthoist/experiments/soak/plan.py
+++ b/basalthoist/experiments/soak/plan.py
@@ -8,8 +8,8 @@
 
 from .discovery import OUTAGES
 
-BACKEND_FAULTS = ("hang", "reset", "error", "turn_away", "drain", "restart")
-NODE_FAULTS = ("wall_clock", "accept", "connect", "socket", "short_io", "hold_up")
+BACKEND_FAULTS = ("hang", "reset", "error", "reject", "drain", "restart")
+NODE_FAULTS = ("wall_clock", "accept", "connect", "socket", "short_io", "delay_writes")
 SIGNALS = ("TERM", "HUP", "BAD_HUP")
 ERRORS = {
     "accept": (errno.ECONNABORTED, errno.ENFILE, errno.ENOBUFS, errno.EPROTO, errno.ENETDOWN),
@@ -23,8 +23,8 @@
 # From the protocol documentation: clients open new connections for so long after SIGTERM.
 CONNECTS_AFTER_SIGTERM_S = 0.4
 
-Kind = Literal["hang", "reset", "error", "turn_away", "drain", "restart", "wall_clock", "accept", "connect",
-               "socket", "short_io", "hold_up", "outage"]  # fmt: skip
+Kind = Literal["hang", "reset", "error", "reject", "drain", "restart", "wall_clock", "accept", "connect",
+               "socket", "short_io", "delay_writes", "outage"]  # fmt: skip
 
 
 class Event(msgspec.Struct, frozen=True):
--- a/basalthoist/experiments/soak/record.py
+++ b/basalthoist/experiments/soak/record.py
@@ -15,7 +15,7 @@
     received_at: float
     announced_timeout_s: float  # Request-Timeout-Ms that the node sent
     parallel: bool  # another attempt was still in flight
-    late_s: float  # delay that the machine alone explains, see `late_s` in backends.py
+    late_s: float  # delay that the machine alone explains, see `Surroundings.late_s`
     outcome: str = MAY_HAVE_RUN
 
 
