--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -12,10 +12,10 @@
     StandIn,
     document,
     member,
-    once_open,
     own_address,
     read_message,
     reply,
+    reply_once_open,
     request,
     route,
     silent,
@@ -136,7 +136,7 @@
 
 def test_link_broken_after_at_most_once_request_was_sent_gives_one_response_and_one_run(sites):
     gate = []
-    a, b = sites([reply()], [once_open(gate)] * 2)
+    a, b = sites([reply()], [reply_once_open(gate)] * 2)
     a.lose()
     wait_for_spill_offer(a)
     wait_for(lambda: a.program.log().count("spill offered"))
@@ -225,7 +225,7 @@
     path = tmp_path / "gateway.toml"
     path.write_text(text)
     program = Program(tmp_path, document("127.0.0.1:1"), PROXY_GATEWAY=str(path))
-    line = program.ends_at_once()
+    line = program.wait_refused_start()
     assert key in line and str(path) in line
 
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -10,18 +10,18 @@
 from helpers import (
     DiscoveryStandIn,
     Program,
-    ResetUnread,
+    ResettingBackend,
     StandIn,
     cut,
     document,
     ended,
     member,
-    once_open,
     own_address,
     raw,
     read_head,
     read_message,
     reply,
+    reply_once_open,
     request,
     silent,
     wait_for,
@@ -249,7 +249,7 @@
 def test_partly_written_request_counts_as_never_run(start, size, statuses):
     """An at-most-once request is retried if partly written; if completely written, it may have run."""
     limits = {"body_bytes": 8_000_000}
-    program, (resets, _), _ = start(ResetUnread(None), reply(), limits=limits)
+    program, (resets, _), _ = start(ResettingBackend(None), reply(), limits=limits)
     found = {program.ask(request("pay", body=b"x" * size, ident=str(i))).status for i in range(8)}
     assert found == statuses and resets.open
 
@@ -322,7 +322,7 @@
 def test_requests_in_progress_and_late_answered_after_sigterm(start):
     gate = []
 
-    program, (backend,), _ = start(once_open(gate))
+    program, (backend,), _ = start(reply_once_open(gate))
     with program.connect() as sock, sock.makefile("rb") as source, program.connect() as idle:
         sock.sendall(request("pay", ident="in-progress"))
         wait_for(lambda: backend.seen)
@@ -414,7 +414,7 @@
 
 
 def test_watch_opens_new_connection_when_discovery_closes_after_list(start):
-    program, _, discovery = start(reply(), one_each=True)
+    program, _, discovery = start(reply(), close_after_answer=True)
     wait_for(lambda: discovery.watches)
     assert discovery.lists == 1
 
@@ -495,7 +495,7 @@
 def test_burst_of_requests_answered_with_few_descriptors(start):
     """Every complete request is answered, even if by 503, and the process never lacks a descriptor."""
     gate = []
-    program, _, _ = start(once_open(gate), files=96)
+    program, _, _ = start(reply_once_open(gate), files=96)
     clients = [program.connect() for _ in range(150)]
     for number, sock in enumerate(clients):
         sock.sendall(request("pay", ident=str(number)))
@@ -553,7 +553,7 @@
 
 def test_request_id_rejected_with_409_until_last_attempt_ends(start):
     gate = []
-    program, (backend,), _ = start(once_open(gate))
+    program, (backend,), _ = start(reply_once_open(gate))
     with program.connect() as sock, sock.makefile("rb") as source:
         sock.sendall(request("pay", ident="a"))
         wait_for(lambda: backend.seen)
