--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -235,7 +235,7 @@
         self.process.wait()
         self.errors.close()
 
-    def ends_at_once(self):
+    def wait_refused_start(self):
         """It has refused its files: exit code 2 and one line, which is handed back."""
         assert self.process.wait(10) == 2
         [line] = self.log().splitlines()
--- a/tests/test_distributed.py
+++ b/tests/test_distributed.py
@@ -179,7 +179,7 @@
     path = tmp_path / "wrong.toml"
     path.write_text('fleet = "x"\nseeds = ["nowhere"]\n')
     program, _, _ = start(wait=False, environment={"PROXY_DISTRIBUTION": str(path)})
-    assert "seeds[0]" in program.ends_at_once()
+    assert "seeds[0]" in program.wait_refused_start()
     ended = subprocess.run([sys.executable, "-m", "basalthoist", "relay", str(path)], capture_output=True)
     assert ended.returncode == 2 and b"role: expected 'relay'" in ended.stderr
 
--- a/tests/test_jsonrpc.py
+++ b/tests/test_jsonrpc.py
@@ -403,7 +403,7 @@
     path = tmp_path / "jsonrpc.toml"
     path.write_text(text)
     program = Program(tmp_path, document("127.0.0.1:1"), PROXY_JSONRPC=str(path))
-    assert named in program.ends_at_once()
+    assert named in program.wait_refused_start()
 
 
 # Properties.
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -108,7 +108,7 @@
 
 def test_a_faulty_address_of_the_door_ends_the_start(start):
     program, _, _ = start(reply(), wait=False, admin="127.0.0.1")
-    assert "admin (PROXY_ADMIN): expected host:port" in program.ends_at_once()
+    assert "admin (PROXY_ADMIN): expected host:port" in program.wait_refused_start()
 
 
 # Maintenance, as a decision.
