--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -137,7 +137,7 @@
     return behave
 
 
-def once_open(gate):
+def reply_once_open(gate):
     """Answers as soon as there is something in `gate`."""
 
     def behave(stand_in, sock, request):
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -12,10 +12,10 @@
     StandIn,
     document,
     member,
-    once_open,
     own_address,
     read_message,
     reply,
+    reply_once_open,
     request,
     route,
     silent,
@@ -136,7 +136,7 @@
 
 def test_a_link_that_breaks_after_a_save_was_written_gives_one_answer_and_no_second_run(sites):
     gate = []
-    a, b = sites([reply()], [once_open(gate)] * 2)
+    a, b = sites([reply()], [reply_once_open(gate)] * 2)
     a.lose()
     wait_for_spill_offer(a)
     wait_for(lambda: a.program.log().count("spill offered"))
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -16,12 +16,12 @@
     document,
     ended,
     member,
-    once_open,
     own_address,
     raw,
     read_head,
     read_message,
     reply,
+    reply_once_open,
     request,
     silent,
     wait_for,
@@ -321,7 +321,7 @@
 def test_sigterm_answers_what_is_held_and_what_still_comes(start):
     gate = []
 
-    program, (backend,), _ = start(once_open(gate))
+    program, (backend,), _ = start(reply_once_open(gate))
     with program.connect() as sock, sock.makefile("rb") as source, program.connect() as kept:
         sock.sendall(request("pay", ident="held"))
         wait_for(lambda: backend.seen)
@@ -491,7 +491,7 @@
     """Each that sent a whole request is answered, be it with a refusal, and the process never runs dry."""
 
     gate = []
-    program, _, _ = start(once_open(gate), files=96)
+    program, _, _ = start(reply_once_open(gate), files=96)
     crowd = [program.connect() for _ in range(150)]
     for number, sock in enumerate(crowd):
         sock.sendall(request("pay", ident=str(number)))
@@ -549,7 +549,7 @@
 
 def test_the_id_of_an_open_request_is_refused_until_its_last_try_has_ended(start):
     gate = []
-    program, (backend,), _ = start(once_open(gate))
+    program, (backend,), _ = start(reply_once_open(gate))
     with program.connect() as sock, sock.makefile("rb") as source:
         sock.sendall(request("pay", ident="a"))
         wait_for(lambda: backend.seen)
