--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -163,13 +163,13 @@
 class DiscoveryStandIn(StandIn):
     """Serves `members`; `tell` sends a change down all watches.
 
-    `mute`: it accepts and says nothing; `one_each`: it closes after each answer.
+    `mute`: it accepts and says nothing; `close_after_answer`: it closes after each answer.
     """
 
-    def __init__(self, members, mute=False, one_each=False):
+    def __init__(self, members, mute=False, close_after_answer=False):
         self.members, self.mute, self.watches, self.lists = members, mute, [], 0
         self.refuses = None  # a status that every call is answered with
-        self.one_each = one_each
+        self.close_after_answer = close_after_answer
         super().__init__(type(self).answer)
 
     def answer(self, sock, request):
@@ -177,7 +177,7 @@
             return
         if self.refuses:
             return sock.sendall(b"HTTP/1.1 %d No\r\nContent-Length: 0\r\n\r\n" % self.refuses)
-        close = b"Connection: close\r\n" if self.one_each else b""
+        close = b"Connection: close\r\n" if self.close_after_answer else b""
         text = json.dumps({"revision": 1, "complete": True, "members": self.members}).encode()
         if "stream=1" in request.path:
             sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(b"\n"))
@@ -185,7 +185,7 @@
         else:
             self.lists += 1
             sock.sendall(b"HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n" % (close, len(text)) + text)
-            if self.one_each:
+            if self.close_after_answer:
                 raise EOFError
 
     def tell(self, *members):
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -412,7 +412,7 @@
 
 
 def test_a_discovery_that_closes_after_the_list_is_watched_on_another_connection(start):
-    program, _, discovery = start(reply(), one_each=True)
+    program, _, discovery = start(reply(), close_after_answer=True)
     wait_for(lambda: discovery.watches)
     assert discovery.lists == 1
 
