--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -93,7 +93,7 @@
                 sock.shutdown(socket.SHUT_RDWR)
 
 
-class ResetUnread(StandIn):
+class ResettingBackend(StandIn):
     """Takes connections and resets each as soon as something has come on it."""
 
     def serve(self, sock):
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -10,7 +10,7 @@
 from helpers import (
     DiscoveryStandIn,
     Program,
-    ResetUnread,
+    ResettingBackend,
     StandIn,
     cut,
     document,
@@ -249,7 +249,7 @@
 def test_a_request_of_which_bytes_are_unwritten_has_not_run(start, size, statuses):
     """Sent on elsewhere though it must not run twice; one written whole is not, as it may have run."""
     limits = {"body_bytes": 8_000_000}
-    program, (resets, _), _ = start(ResetUnread(None), reply(), limits=limits)
+    program, (resets, _), _ = start(ResettingBackend(None), reply(), limits=limits)
     found = {program.ask(request("pay", body=b"x" * size, ident=str(i))).status for i in range(8)}
     assert found == statuses and resets.open
 
