--- a/basalthoist/experiments/cold_start.py
+++ b/basalthoist/experiments/cold_start.py
@@ -22,7 +22,7 @@
 from .loopback import (
     Clients,
     DiscoveryAgent,
-    Script,
+    ScriptedBackend,
     document_for,
     end_nodes,
     members_of,
@@ -69,7 +69,7 @@
     return row_of("emulated", kind, case, seed, ramp.worst(), ramp.worst(True), got)
 
 
-class ColdScript(Script):
+class ColdScript(ScriptedBackend):
     """Runs at the share of its speed that its ramp has come to, and keeps what came: time, node, work."""
 
     def __init__(self, scenario, number: int, runs: dict, terms=None) -> None:
@@ -171,8 +171,8 @@
                 clients.append(Clients(own, [self.addresses[number]], seconds, f"n{number}-"))
             loop, burst_at = asyncio.get_running_loop(), self.start_s + self.burst.at_s - START_S
             for one in clients:
-                loop.call_later(burst_at, one.jump, self.burst.factor)
-                loop.call_later(burst_at + self.burst.for_s, one.jump, 1.0)
+                loop.call_later(burst_at, one.set_rate_factor, self.burst.factor)
+                loop.call_later(burst_at + self.burst.for_s, one.set_rate_factor, 1.0)
             await asyncio.gather(self.start_cold(), *(one.run() for one in clients))
             dead = [n for n, (node, _) in enumerate(nodes) if node.returncode is not None]
             if dead:
--- a/basalthoist/experiments/loopback.py
+++ b/basalthoist/experiments/loopback.py
@@ -26,7 +26,7 @@
 class Backend(asyncio.Protocol):
     """A connection to a scripted backend with slots and a finite queue; the work comes with the request."""
 
-    def __init__(self, script: "Script") -> None:
+    def __init__(self, script: "ScriptedBackend") -> None:
         self.script, self.buffer, self.transport = script, b"", None
 
     def connection_made(self, transport) -> None:
@@ -44,7 +44,7 @@
             self.script.take(self, head.split(b" ")[1], headers)
 
 
-class Script:
+class ScriptedBackend:
     protocol = Backend
 
     def __init__(self, scenario: Scenario, number: int, runs: dict[str, int]) -> None:
@@ -128,7 +128,7 @@
         self.value = self.kept = 0.0
         self.last = 0
 
-    def jump(self, factor: float) -> None:
+    def set_rate_factor(self, factor: float) -> None:
         self.factor = factor
 
     async def run(self) -> None:
@@ -228,7 +228,7 @@
     return f"{host}:{next(PORTS)}"
 
 
-async def members_of(scripts: list[Script], name: str = "s", locations: int = 1) -> list[dict]:
+async def members_of(scripts: list[ScriptedBackend], name: str = "s", locations: int = 1) -> list[dict]:
     """Lets the scripted backends listen; the list of them as discovery tells it."""
     usual = {"flavor": "std", "phase": "ready", "size": 1.0, "up_since_ms": 0}
     members = []
@@ -269,7 +269,7 @@
 
 async def play_on(scenario: Scenario, seconds: float, folder: Path) -> dict:
     runs: dict[str, int] = {}
-    scripts = [Script(scenario, number, runs) for number in range(scenario.backends.count)]
+    scripts = [ScriptedBackend(scenario, number, runs) for number in range(scenario.backends.count)]
     members = await members_of(scripts, locations=scenario.locations)
     discovery = await open_discovery(members)
     nodes, logs, addresses = [], [], []
--- a/basalthoist/experiments/protocols.py
+++ b/basalthoist/experiments/protocols.py
@@ -1,4 +1,4 @@
-"""The same fleet and clients over HTTP and over JSON-RPC, in turns, with a jump in traffic in the middle."""
+"""The same fleet and clients over HTTP and over JSON-RPC, in turns, with a set_rate_factor in traffic in the middle."""
 
 import asyncio
 import json
@@ -11,7 +11,7 @@
 
 from .loopback import (
     Clients,
-    Script,
+    ScriptedBackend,
     document_for,
     end_nodes,
     members_of,
@@ -46,7 +46,7 @@
                 self.script.take(self, b"=%d" % params["work"], headers | {b"id": call["id"]})
 
 
-class JsonScript(Script):
+class JsonScript(ScriptedBackend):
     protocol = JsonBox
 
     def say(self, connection: JsonBox, ident: str, error: dict | None = None) -> None:
@@ -80,7 +80,7 @@
 
 async def play_on(json_rpc: bool, scenario: Scenario, seconds: float, folder: Path) -> dict:
     runs: dict[str, int] = {}
-    make = JsonScript if json_rpc else Script
+    make = JsonScript if json_rpc else ScriptedBackend
     scripts = [make(scenario, number, runs) for number in range(scenario.backends.count)]
     members = await members_of(scripts)
     discovery = await open_discovery(members)
@@ -97,8 +97,8 @@
         kind, where = (JsonClients, front) if json_rpc else (Clients, address)
         await asyncio.sleep(0.1)
         clients, loop = kind(scenario, [where], seconds), asyncio.get_running_loop()
-        loop.call_later(seconds / 3, clients.jump, 2.0)
-        loop.call_later(2 * seconds / 3, clients.jump, 1.0)
+        loop.call_later(seconds / 3, clients.set_rate_factor, 2.0)
+        loop.call_later(2 * seconds / 3, clients.set_rate_factor, 1.0)
         await clients.run()
         if process.returncode is not None:
             raise RuntimeError(f"the node ended with {process.returncode}")
--- a/basalthoist/experiments/sites.py
+++ b/basalthoist/experiments/sites.py
@@ -10,7 +10,7 @@
 
 from .loopback import (
     Clients,
-    Script,
+    ScriptedBackend,
     document_for,
     end_nodes,
     members_of,
@@ -78,7 +78,7 @@
 class Site:
     def __init__(self, name: str, scenario: Scenario, runs: dict[str, int], folder: Path) -> None:
         self.name, self.scenario, self.runs, self.folder = name, scenario, runs, folder
-        self.scripts = [Script(scenario, number, runs) for number in range(scenario.backends.count)]
+        self.scripts = [ScriptedBackend(scenario, number, runs) for number in range(scenario.backends.count)]
         self.watches: list = []
         self.address, self.process, self.members = address_of(own_address()), None, []
 
