--- a/basalthoist/experiments/cold_start.py
+++ b/basalthoist/experiments/cold_start.py
@@ -18,7 +18,7 @@
 
 from basalthoist.addresses import address_of
 from basalthoist.emulator.events import SECOND
-from basalthoist.emulator.ramp import KNOWLEDGE, LISTS, START_S, Arrival, Case, Worst, judge, play
+from basalthoist.emulator.ramp import LIST_UPDATES, LOAD_KNOWLEDGE, START_S, Arrival, Case, Worst, judge, play
 
 from .loopback import (
     Clients,
@@ -49,10 +49,10 @@
     """Returns each kind with each knowledge, where all nodes learn at once, and `plain` with every list."""
     named_cases = []
     for count in nodes:
-        for knowledge in KNOWLEDGE:
+        for knowledge in LOAD_KNOWLEDGE:
             defaults = TIGHT | {"nodes": count, "knowledge": knowledge}
             named_cases += [(kind, Case(**defaults | more)) for kind, more in KINDS.items()]
-            named_cases += [("plain", Case(**defaults, lists=lists)) for lists in LISTS[1:]]
+            named_cases += [("plain", Case(**defaults, lists=lists)) for lists in LIST_UPDATES[1:]]
     return named_cases
 
 
@@ -185,12 +185,12 @@
         late_ms = max(one.late_ms() for one in clients)
         return self.worst(), self.worst(True), len(self.cold.arrived), late_ms
 
-    def worst(self, all_told: bool = False) -> Worst:
+    def worst(self, include_excused: bool = False) -> Worst:
         mean = 10 * self.scenario.routes[0].service_ms
         arrivals = [Arrival(int(at * SECOND), work / mean, self.announced_at.get(node, at) < at)
                     for at, node, work in self.cold.arrived]  # fmt: skip
         warm_rate = self.cold.kind.slots * SECOND / mean
-        return judge(arrivals, int(self.cold.started * SECOND), self.terms, warm_rate, all_told)
+        return judge(arrivals, int(self.cold.started * SECOND), self.terms, warm_rate, include_excused)
 
 
 def on_loopback(kind: str, case: Case, seed: int) -> list:
@@ -218,7 +218,7 @@
 def play_all(seeds: Iterable[int], nodes: int, into: Path, log: Callable[[str], None]) -> None:
     """Plays each list with and without probes on loopback, one by one. Odd seeds get uneven traffic."""
     for seed in seeds:
-        for lists in LISTS:
+        for lists in LIST_UPDATES:
             for knowledge in ("neither", "probes"):
                 case = Case(**TIGHT, nodes=nodes, lists=lists, knowledge=knowledge, uneven=seed % 2 == 1)
                 row = on_loopback("uneven" if case.uneven else "plain", case, seed)
--- a/basalthoist/experiments/scale/real.py
+++ b/basalthoist/experiments/scale/real.py
@@ -11,7 +11,7 @@
 from contextlib import suppress
 from pathlib import Path
 
-from basalthoist.start import serve_by
+from basalthoist.start import run_node
 
 from . import counting
 
@@ -36,4 +36,4 @@
 if __name__ == "__main__":
     counting.install()
     threading.Thread(target=write_counts, args=(Path(os.environ["SCALE_COUNTS"]),), daemon=True).start()
-    sys.exit(serve_by())
+    sys.exit(run_node())
--- a/basalthoist/experiments/scale/traced.py
+++ b/basalthoist/experiments/scale/traced.py
@@ -15,7 +15,7 @@
 from basalthoist.net.clients.http_connection import HttpClientConnection
 from basalthoist.net.dispatcher import RequestDispatcher
 from basalthoist.net.upstream.connection import Connection
-from basalthoist.start import serve_by
+from basalthoist.start import run_node
 
 from .counting import GcPauses
 
@@ -172,6 +172,6 @@
 if __name__ == "__main__":
     tracer = Tracer()
     tracer.install()
-    code = serve_by()
+    code = run_node()
     tracer.write(Path(os.environ["SCALE_TRACE"]))
     sys.exit(code)
