--- a/basalthoist/experiments/cold_start.py
+++ b/basalthoist/experiments/cold_start.py
@@ -173,9 +173,9 @@
                     load=msgspec.structs.replace(self.scenario.load, rate=load))  # fmt: skip
                 clients.append(Clients(own, [self.addresses[number]], seconds, f"n{number}-"))
             loop, burst_at = asyncio.get_running_loop(), self.start_s + self.burst.at_s - START_S
-            for one in clients:
-                loop.call_later(burst_at, one.set_rate_factor, self.burst.factor)
-                loop.call_later(burst_at + self.burst.for_s, one.set_rate_factor, 1.0)
+            for client in clients:
+                loop.call_later(burst_at, client.set_rate_factor, self.burst.factor)
+                loop.call_later(burst_at + self.burst.for_s, client.set_rate_factor, 1.0)
             await asyncio.gather(self.start_cold(), *(one.run() for one in clients))
             dead = [n for n, (node, _) in enumerate(nodes) if node.returncode is not None]
             if dead:
@@ -251,8 +251,8 @@
     try:
         with path.open(newline="") as file:
             rows = list(csv.DictReader(file))
-    except OSError as wrong:
-        raise RunError(f"{path}: {wrong.strerror}") from None
+    except OSError as error:
+        raise RunError(f"{path}: {error.strerror}") from None
     parts = []
     for way in sorted({row["way"] for row in rows}):
         way_rows = [row for row in rows if row["way"] == way]
--- a/basalthoist/experiments/scale/bench.py
+++ b/basalthoist/experiments/scale/bench.py
@@ -152,7 +152,7 @@
 
     def real(self, document: dict) -> RealNode:
         """Writes the file of a real node. The caller starts the node."""
-        path = files.put(self.folder, document)
+        path = files.write_document(self.folder, document)
         real = RealNode(document["name"], document, path.parent)
         self.reals.append(real)
         return real
--- a/basalthoist/experiments/scale/catalogue.py
+++ b/basalthoist/experiments/scale/catalogue.py
@@ -46,7 +46,10 @@
         _, discovery = await bench.agent(members)
         real_document = files.document(f"n{number:05}", catalogue, discovery, sizes.NODES, 0, members)
         hollow_document = files.document(f"h{number:05}", catalogue, discovery, sizes.NODES, 1, members)
-        self.real, hollow_path = bench.real(real_document), files.put(bench.folder, hollow_document)
+        self.real, hollow_path = (
+            bench.real(real_document),
+            files.write_document(bench.folder, hollow_document),
+        )
         self.worker = await bench.worker()
         self.idle_worker = await self.worker.ask("begin")
         await asyncio.sleep(1.0)
--- a/basalthoist/experiments/scale/counts.py
+++ b/basalthoist/experiments/scale/counts.py
@@ -30,7 +30,7 @@
 from .sizes import Ask
 
 NAME = "counts"
-ABOUT = "state, looks of a round, words and bytes, counted: the same on any machine"
+ABOUT = "memory, items visited in a tick, messages and bytes, counted: the same on any machine"
 NODES, FEW = (48, 96, 192), files.Catalogue(routes=10, tenants=20, backends=12)
 SMALL, LARGE = (200, 400, 800), (2_000, 4_000, 8_000, 16_000)
 BOUNDS = Bounds(20_000, 2_000, 10_000, 40_000, 0.001, 60_000)
--- a/basalthoist/experiments/scale/datapath.py
+++ b/basalthoist/experiments/scale/datapath.py
@@ -15,7 +15,7 @@
 from .sizes import Ask, part_of
 
 NAME = "path"
-ABOUT = "what is added to a request, part by part, and what a node spends an exchange"
+ABOUT = "latency added to a request, part by part, and processor time of a node for each request"
 DURATION_S, WORK_MS, BACKENDS = 12.0, 12.0, 48
 RATE_FACTORS = (1, 3, 6)  # multiples of the mean rate of a node
 
--- a/basalthoist/experiments/scale/fleets.py
+++ b/basalthoist/experiments/scale/fleets.py
@@ -79,7 +79,7 @@
         """Waits until all nodes are fresh; returns False after JOIN_S. The run is measured in either case."""
         while time.monotonic() - began < JOIN_S:
             seen = await bench.ask_all("look")
-            if all(one["fresh"] for one in seen):
+            if all(figures["fresh"] for figures in seen):
                 return True
             await asyncio.sleep(0.1)
         return False
@@ -90,11 +90,11 @@
         """
         until = time.monotonic() + 30 * max(self.beat_s, 0.5)
         while time.monotonic() < until:
-            asked = [real.call("fleet-status", 1.0) for real in self.reals[:VOTERS]]
-            for text in await asyncio.gather(*asked):
+            calls = [real.call("fleet-status", 1.0) for real in self.reals[:VOTERS]]
+            for text in await asyncio.gather(*calls):
                 answer = text.split()
                 if answer[:2] == ["SUCCESS", "author"]:
-                    return next(one for one in self.reals if one.name == answer[2])
+                    return next(real for real in self.reals if real.name == answer[2])
             await asyncio.sleep(0.2)
         raise RunFailed("no voter answered fleet-status as the leader")
 
@@ -185,7 +185,7 @@
 class Fleets:
     """A layer for one beat. The longer beat allows fleets too large for the machine at the shorter one."""
 
-    ABOUT = "a node's, a voter's and the author's share of a core, memory and words: verdicts, membership"
+    ABOUT = "processor time, memory and messages of a node, a voter and the leader: verdicts, membership"
 
     def __init__(self, name: str, beat_s: float) -> None:
         self.NAME, self.beat_s = name, beat_s
--- a/basalthoist/experiments/scale/hollow.py
+++ b/basalthoist/experiments/scale/hollow.py
@@ -57,10 +57,10 @@
 ROLES = {"node": HollowNode}
 
 
-def minimum_of(found: list[dict]) -> dict:
+def minimum_of(figures: list[dict]) -> dict:
     """Returns the number of nodes of this process and the minimum of each figure over them."""
-    keys = {key for one in found for key in one}
-    return {"count": len(found)} | {key: min(one.get(key, 0) for one in found) for key in sorted(keys)}
+    keys = {key for node_figures in figures for key in node_figures}
+    return {"count": len(figures)} | {key: min(one.get(key, 0) for one in figures) for key in sorted(keys)}
 
 
 class Worker:
@@ -71,9 +71,9 @@
 
     async def start(self, order: dict) -> dict:
         role = ROLES[order.get("role", "node")]
-        for number, one in enumerate(order["nodes"]):
+        for number, node_order in enumerate(order["nodes"]):
             node = role(self.loop)
-            node.start(one)
+            node.start(node_order)
             self.nodes.append(node)
             if number % MAX_STARTS_PER_TURN == MAX_STARTS_PER_TURN - 1:
                 await asyncio.sleep(0)
@@ -94,14 +94,14 @@
         return {"at": time.monotonic(), "cpu_s": counting.cpu_s(pid), "memory_mb": counting.memory_mb(pid),
                 "late_p99_ms": self.lateness.p99_ms(), "dropped": counting.dropped_here(),
                 "words": counting.message_counts() if order.get("words") else {},
-                "least": minimum_of([one.figures() for one in self.nodes])}  # fmt: skip
+                "least": minimum_of([node.figures() for node in self.nodes])}  # fmt: skip
 
     async def look(self, order: dict) -> dict:
-        return minimum_of([one.figures() for one in self.nodes])
+        return minimum_of([node.figures() for node in self.nodes])
 
     async def end(self, order: dict) -> dict:
-        for one in self.nodes:
-            one.close()
+        for node in self.nodes:
+            node.close()
         return {}
 
     async def execute(self, line: bytes) -> None:
--- a/basalthoist/experiments/scale/parts.py
+++ b/basalthoist/experiments/scale/parts.py
@@ -3,11 +3,20 @@
 from bisect import bisect_left
 from typing import NamedTuple
 
-from .traced import ANSWERED, BEGUN, CARRIED, DECIDED, HEARD, READ, SENT, WRITTEN
-
-HOLDS = ("in share", "cold", "surplus", "asked a backend", "again")
+from .traced import (
+    RESPONSE_WRITTEN,
+    STARTED,
+    ON_CONNECTION,
+    DECIDED,
+    RESPONSE_RECEIVED,
+    REQUEST_READ,
+    SENT,
+    REQUEST_WRITTEN,
+)
+
+WAIT_REASONS = ("in share", "cold", "surplus", "asked a backend", "again")
 PARTS = (
-    "waiting to be read", "reading", "deciding", *(f"held: {why}" for why in HOLDS),
+    "waiting to be read", "reading", "deciding", *(f"held: {why}" for why in WAIT_REASONS),
     "waiting for a connection", "writing on", "answer waiting to be read", "answering", "on its way back",
     "the once-a-second round", "collection of garbage",
 )  # fmt: skip
@@ -58,15 +67,15 @@
     pauses = Spans(trace["pauses"])
     rounds, added = Spans(subtract_pauses(trace["rounds"], trace["pauses"])), []
     for sent_at, answered_at, why, attempts, *at in trace["exchanges"]:
-        if sent_at not in received or not answered_at or not at[ANSWERED] or attempts != 1:
+        if sent_at not in received or not answered_at or not at[RESPONSE_WRITTEN] or attempts != 1:
             continue
         received_at, hold = received[sent_at], f"held: {why or 'in share'}"
         spans = [
-            ("waiting to be read", sent_at, at[READ]), ("reading", at[READ], at[BEGUN]),
-            ("deciding", at[BEGUN], at[DECIDED]), (hold, at[DECIDED], at[SENT]),
-            ("waiting for a connection", at[SENT], at[CARRIED]), ("writing on", at[CARRIED], at[WRITTEN]),
-            ("answer waiting to be read", answered_at, at[HEARD]), ("answering", at[HEARD], at[ANSWERED]),
-            ("on its way back", at[ANSWERED], received_at),
+            ("waiting to be read", sent_at, at[REQUEST_READ]), ("reading", at[REQUEST_READ], at[STARTED]),
+            ("deciding", at[STARTED], at[DECIDED]), (hold, at[DECIDED], at[SENT]),
+            ("waiting for a connection", at[SENT], at[ON_CONNECTION]), ("writing on", at[ON_CONNECTION], at[REQUEST_WRITTEN]),
+            ("answer waiting to be read", answered_at, at[RESPONSE_RECEIVED]), ("answering", at[RESPONSE_RECEIVED], at[RESPONSE_WRITTEN]),
+            ("on its way back", at[RESPONSE_WRITTEN], received_at),
         ]  # fmt: skip
         parts = dict.fromkeys(PARTS, 0.0)
         for name, begin, end in spans:
--- a/basalthoist/experiments/scale/traced.py
+++ b/basalthoist/experiments/scale/traced.py
@@ -20,7 +20,17 @@
 from .counting import GcPauses
 
 clock = time.monotonic_ns
-READ, BEGUN, DECIDED, SENT, CARRIED, WRITTEN, HEARD, ENDED, ANSWERED = range(9)
+(
+    REQUEST_READ,
+    STARTED,
+    DECIDED,
+    SENT,
+    ON_CONNECTION,
+    REQUEST_WRITTEN,
+    RESPONSE_RECEIVED,
+    ENDED,
+    RESPONSE_WRITTEN,
+) = range(9)
 MAX_TRACES = 400_000  # requests traced; later ones are not recorded
 
 
@@ -69,7 +79,7 @@
 
         def traced_begin(host, request, *what):
             trace = tracer.open[request.id] = Trace()
-            trace.at[READ], trace.at[BEGUN] = tracer.read_at, clock()
+            trace.at[REQUEST_READ], trace.at[STARTED] = tracer.read_at, clock()
             head = request.head
             at = head.lower().find(b"sent-at: ")
             trace.sent_at = int(head[at + 9 : head.index(b"\r", at)]) if at >= 0 else 0
@@ -89,7 +99,7 @@
             send(host, ident, backend, timeout)
             tracer.sending = None
             request = host.in_progress.get(ident)
-            waits = trace is not None and trace.at[CARRIED] < trace.at[SENT]
+            waits = trace is not None and trace.at[ON_CONNECTION] < trace.at[SENT]
             if waits and request is not None and request.calls and request.calls[-1] is not None:
                 tracer.calls[id(request.calls[-1])] = trace
 
@@ -98,7 +108,7 @@
             if trace is not None:
                 trace.at[ENDED] = clock()
                 answered_header = answer.get(b"said-at") if answer is not None else None
-                trace.answered_at, trace.at[HEARD] = int(answered_header or 0), tracer.received_at
+                trace.answered_at, trace.at[RESPONSE_RECEIVED] = int(answered_header or 0), tracer.received_at
             for call in request.calls:
                 tracer.calls.pop(id(call), None)
             ended(host, request, number, began_at, outcome, answer)
@@ -142,9 +152,9 @@
             trace = trace or tracer.calls.pop(id(call), None)
             if trace is None or call.is_health_check:
                 return send(connection, call)
-            trace.at[CARRIED] = clock()
+            trace.at[ON_CONNECTION] = clock()
             send(connection, call)
-            trace.at[WRITTEN] = clock()
+            trace.at[REQUEST_WRITTEN] = clock()
 
         def traced_received(connection, data):
             if connection.call is not None and not connection.call.is_health_check:
@@ -159,7 +169,7 @@
             answer(client, *what)
             trace = tracer.open.get(request.id) if request is not None else None
             if trace is not None:
-                trace.at[ANSWERED] = clock()
+                trace.at[RESPONSE_WRITTEN] = clock()
 
         HttpClientConnection.answer = traced_answer
 
