--- a/basalthoist/experiments/scale/parts.py
+++ b/basalthoist/experiments/scale/parts.py
@@ -4,14 +4,14 @@
 from typing import NamedTuple
 
 from .traced import (
-    RESPONSE_WRITTEN,
-    STARTED,
-    ON_CONNECTION,
     DECIDED,
-    RESPONSE_RECEIVED,
+    ON_CONNECTION,
     REQUEST_READ,
-    SENT,
     REQUEST_WRITTEN,
+    RESPONSE_RECEIVED,
+    RESPONSE_WRITTEN,
+    SENT,
+    STARTED,
 )
 
 WAIT_REASONS = ("in share", "cold", "surplus", "asked a backend", "again")
@@ -73,8 +73,10 @@
         spans = [
             ("waiting to be read", sent_at, at[REQUEST_READ]), ("reading", at[REQUEST_READ], at[STARTED]),
             ("deciding", at[STARTED], at[DECIDED]), (hold, at[DECIDED], at[SENT]),
-            ("waiting for a connection", at[SENT], at[ON_CONNECTION]), ("writing on", at[ON_CONNECTION], at[REQUEST_WRITTEN]),
-            ("answer waiting to be read", answered_at, at[RESPONSE_RECEIVED]), ("answering", at[RESPONSE_RECEIVED], at[RESPONSE_WRITTEN]),
+            ("waiting for a connection", at[SENT], at[ON_CONNECTION]),
+            ("writing on", at[ON_CONNECTION], at[REQUEST_WRITTEN]),
+            ("answer waiting to be read", answered_at, at[RESPONSE_RECEIVED]),
+            ("answering", at[RESPONSE_RECEIVED], at[RESPONSE_WRITTEN]),
             ("on its way back", at[RESPONSE_WRITTEN], received_at),
         ]  # fmt: skip
         parts = dict.fromkeys(PARTS, 0.0)
