--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -10,18 +10,18 @@
 from helpers import (
     DiscoveryStandIn,
     Program,
-    ResetUnread,
+    ResettingBackend,
     StandIn,
     cut,
     document,
     ended,
     member,
-    once_open,
     own_address,
     raw,
     read_head,
     read_message,
     reply,
+    reply_once_open,
     request,
     silent,
     wait_for,
@@ -249,7 +249,7 @@
 def test_a_request_of_which_bytes_are_unwritten_has_not_run(start, size, statuses):
     """Sent on elsewhere though it must not run twice; one written whole is not, as it may have run."""
     limits = {"body_bytes": 8_000_000}
-    program, (resets, _), _ = start(ResetUnread(None), reply(), limits=limits)
+    program, (resets, _), _ = start(ResettingBackend(None), reply(), limits=limits)
     found = {program.ask(request("pay", body=b"x" * size, ident=str(i))).status for i in range(8)}
     assert found == statuses and resets.open
 
@@ -321,7 +321,7 @@
 def test_sigterm_answers_what_is_held_and_what_still_comes(start):
     gate = []
 
-    program, (backend,), _ = start(once_open(gate))
+    program, (backend,), _ = start(reply_once_open(gate))
     with program.connect() as sock, sock.makefile("rb") as source, program.connect() as kept:
         sock.sendall(request("pay", ident="held"))
         wait_for(lambda: backend.seen)
@@ -412,7 +412,7 @@
 
 
 def test_a_discovery_that_closes_after_the_list_is_watched_on_another_connection(start):
-    program, _, discovery = start(reply(), one_each=True)
+    program, _, discovery = start(reply(), close_after_answer=True)
     wait_for(lambda: discovery.watches)
     assert discovery.lists == 1
 
@@ -491,7 +491,7 @@
     """Each that sent a whole request is answered, be it with a refusal, and the process never runs dry."""
 
     gate = []
-    program, _, _ = start(once_open(gate), files=96)
+    program, _, _ = start(reply_once_open(gate), files=96)
     crowd = [program.connect() for _ in range(150)]
     for number, sock in enumerate(crowd):
         sock.sendall(request("pay", ident=str(number)))
@@ -549,7 +549,7 @@
 
 def test_the_id_of_an_open_request_is_refused_until_its_last_try_has_ended(start):
     gate = []
-    program, (backend,), _ = start(once_open(gate))
+    program, (backend,), _ = start(reply_once_open(gate))
     with program.connect() as sock, sock.makefile("rb") as source:
         sock.sendall(request("pay", ident="a"))
         wait_for(lambda: backend.seen)
