--- a/basalthoist/decisions/admission.py
+++ b/basalthoist/decisions/admission.py
@@ -9,7 +9,7 @@
 
 IDLE_ROUNDS = 900  # seconds without a request after which a tenant's usual part is forgotten
 BURST_SECONDS = 3.0  # of its quota that a tenant may save up
-LEAST_BURST = 6.0  # requests; less would take chance for surplus
+LEAST_BURST = 6.0  # requests; less would take rng for surplus
 USUAL_SMOOTHING = 0.05
 MISS_PENALTY, RECOVERY = 0.1, 0.015  # no surplus is admitted once RECOVERY / MISS_PENALTY of requests miss
 DISTANT_PAST = -8 * SECOND
@@ -122,8 +122,8 @@
 class SurplusAdmission:
     """Integral control of the part of surplus requests that is admitted, by misses of what is in quota."""
 
-    def __init__(self, chance: Lcg) -> None:
-        self.chance = chance
+    def __init__(self, rng: Lcg) -> None:
+        self.rng = rng
         self.admitted: float = 1.0
 
     def recover(self) -> None:
@@ -136,7 +136,7 @@
 
     def sheds(self) -> bool:
         """Whether one surplus request is to be shed; draws a random number."""
-        return self.chance.uniform() > self.admitted
+        return self.rng.uniform() > self.admitted
 
 
 class ShedLog:
--- a/basalthoist/decisions/backend.py
+++ b/basalthoist/decisions/backend.py
@@ -54,10 +54,10 @@
         "slow_start",
     )
 
-    def __init__(self, endpoint: Endpoint, now: int, chance: Lcg) -> None:
+    def __init__(self, endpoint: Endpoint, now: int, rng: Lcg) -> None:
         self.name: str = endpoint.name
         self.key: int = crc32(endpoint.name.encode()) & KEY_MASK  # by which peers name it; two may share one
-        self.position: float = chance.uniform()  # among those of its zone, see `EndpointIndex`
+        self.position: float = rng.uniform()  # among those of its zone, see `EndpointIndex`
         self.available_in: int | None = None  # the zone under which `EndpointIndex` holds it
         self.open_attempts: list[Attempt] = []
         self.ejection_time: int = FIRST_EJECTION  # of its next ejection
@@ -66,7 +66,7 @@
         self.credit: float = 0.0  # in the rotation
         self.target_rate: float = 0.0  # per second, from this node
         self.zone_cost: float = 0.0  # what crossing to its zone costs, as a time
-        self.forget(now, chance)
+        self.forget(now, rng)
 
     def learn(self, endpoint: Endpoint, available: bool) -> None:
         """Takes over what the endpoint list says of it."""
@@ -78,7 +78,7 @@
         self.started: int | None = endpoint.started
         self.available: bool = available
 
-    def forget(self, now: int, chance: Lcg) -> None:
+    def forget(self, now: int, rng: Lcg) -> None:
         """Drops what was measured: it has started anew."""
         self.profile: LatencyProfile = LatencyProfile(now)
         self.profiling_stage: int = 0  # 0: none; 1, 2: see `stepwise_profiling`
@@ -93,7 +93,7 @@
         self.health_check_at: int = 0  # 0: none is open
         self.saturated_until: int = 0
         self.rejections: int = 0  # in a row
-        self.slow_start: SlowStart = SlowStart(now, chance)
+        self.slow_start: SlowStart = SlowStart(now, rng)
 
     def is_warming(self, now: int) -> bool:
         """Whether it started so recently that it has not reached its full capacity."""
--- a/basalthoist/decisions/balancer.py
+++ b/basalthoist/decisions/balancer.py
@@ -44,7 +44,7 @@
     def __init__(self, host: BalancerHost, seed: int, settings: dict, now: int) -> None:
         self.host: BalancerHost = host
         self.settings: BalancerSettings = BalancerSettings.from_flat(settings)
-        self.chance: Lcg = Lcg(seed)
+        self.rng: Lcg = Lcg(seed)
         self.routes: list[Route] = [
             Route.from_flat(settings, i) for i in range(settings.get("routes.count", 1))
         ]
@@ -64,11 +64,11 @@
 
     def build_rules(self, host: BalancerHost) -> None:
         """The rules' objects, each with the ones it reads."""
-        settings, chance = self.settings, self.chance
+        settings, rng = self.settings, self.rng
         endpoints = EndpointIndex()
         self.schedule = Schedule(host)
         self.quotas = Quotas(settings)
-        self.surplus = SurplusAdmission(chance)
+        self.surplus = SurplusAdmission(rng)
         self.shed_log = ShedLog(host)
         self.retry = RetryPolicy(host, settings)
         self.loads = LoadEstimator(settings, self.route_bounds)
@@ -76,12 +76,12 @@
         self.slow_start = SlowStartPolicy(settings, self.loads)
         self.subset = Subset(settings, endpoints, self.slow_start)
         on_ring = bool(self.subset.ring_positions)
-        self.registry = BackendRegistry(settings, self.route_bounds, chance, endpoints, on_ring)
+        self.registry = BackendRegistry(settings, self.route_bounds, rng, endpoints, on_ring)
         self.backends: dict[str, Backend] = self.registry.backends
-        self.outliers = OutlierDetection(host, chance, self.subset)
+        self.outliers = OutlierDetection(host, rng, self.subset)
         self.profiling = StepwiseProfiling(host, self.subset, self.route_bounds)
         self.solver = EqualTimeSolver(self.subset, self.loads, self.route_bounds)
-        self.gossip = Gossip(host, settings, chance, self.subset, endpoints, self.loads)
+        self.gossip = Gossip(host, settings, rng, self.subset, endpoints, self.loads)
         self.rotation = Rotation(
             settings,
             self.route_bounds,
@@ -470,9 +470,9 @@
     # The endpoint list, and what operators change.
 
     def on_endpoint_list_failed(self, now: int) -> None:
-        """Discovery did not answer: the host is asked again after a backoff, spread by chance."""
+        """Discovery did not answer: the host is asked again after a backoff, spread by rng."""
         self.list_failures += 1
-        backoff = min(2**self.list_failures, LIST_BACKOFF_MOST) * (0.5 + self.chance.uniform())
+        backoff = min(2**self.list_failures, LIST_BACKOFF_MOST) * (0.5 + self.rng.uniform())
         self.list_retry_at = now + int(SECOND * backoff)
 
     def on_endpoint_list(self, now: int, entries: list[Endpoint], complete: bool) -> None:
@@ -557,8 +557,8 @@
         self.gossip.update_probability(rate)
         for backend in self.subset.backends:
             if backend not in before:
-                # Guards against all nodes that rush to a new backend: its first turn comes by chance.
-                backend.credit = -self.chance.uniform() * self.solver.total_rate
+                # Guards against all nodes that rush to a new backend: its first turn comes by rng.
+                backend.credit = -self.rng.uniform() * self.solver.total_rate
                 backend.profile.restart_window(now)
             if backend.is_warming(now):
                 usual_rate = self.usual_rate or self.demand / len(self.subset.backends)
--- a/basalthoist/decisions/gossip.py
+++ b/basalthoist/decisions/gossip.py
@@ -29,14 +29,14 @@
         self,
         host: BalancerHost,
         settings: BalancerSettings,
-        chance: Lcg,
+        rng: Lcg,
         subset: Subset,
         endpoints: EndpointIndex,
         loads: LoadEstimator,
     ) -> None:
         self.host = host
         self.settings = settings
-        self.chance = chance
+        self.rng = rng
         self.subset = subset
         self.endpoints = endpoints
         self.loads = loads
@@ -58,10 +58,10 @@
         self.audiences.clear()
 
     def tell(self, now: int, kind: GossipKind, backend: Backend) -> bool:
-        """Whether it was told, with the freshest reports on others; sends are told by chance."""
+        """Whether it was told, with the freshest reports on others; sends are told by rng."""
         if not self.probability:
             return False
-        if kind == GossipKind.SENT and self.chance.uniform() >= self.probability:
+        if kind == GossipKind.SENT and self.rng.uniform() >= self.probability:
             return False
         messages = [GossipMessage(kind, backend.key, 0), *self.reports(now, backend)]
         self.host.gossip(messages, self.peers_for(kind, backend))
--- a/basalthoist/decisions/outlier_detection.py
+++ b/basalthoist/decisions/outlier_detection.py
@@ -61,9 +61,9 @@
 class OutlierDetection:
     """Ejects backends of the subset, at most half of it, for times that grow up to LONGEST_EJECTION."""
 
-    def __init__(self, host: BalancerHost, chance: Lcg, subset: "Subset") -> None:
+    def __init__(self, host: BalancerHost, rng: Lcg, subset: "Subset") -> None:
         self.host = host
-        self.chance = chance
+        self.rng = rng
         self.subset = subset
         self.usual_failure_rate: float = 0.0  # the median of the subset
 
@@ -79,7 +79,7 @@
         ejected = sum(other.is_ejected(now) for other in self.subset.backends)
         if ejected >= len(self.subset.backends) // 2:
             return False
-        time = int(backend.ejection_time * (0.75 + 0.5 * self.chance.uniform()))
+        time = int(backend.ejection_time * (0.75 + 0.5 * self.rng.uniform()))
         backend.outlier.ejected_until = now + time
         backend.ejection_time = min(backend.ejection_time * 3 // 2, LONGEST_EJECTION)
         backend.outlier.keep_on_trial()
--- a/basalthoist/decisions/registry.py
+++ b/basalthoist/decisions/registry.py
@@ -16,13 +16,13 @@
         self,
         settings: BalancerSettings,
         route_bounds: RouteBounds,
-        chance: Lcg,
+        rng: Lcg,
         endpoints: EndpointIndex,
         on_ring: bool,
     ) -> None:
         self.settings = settings
         self.route_bounds = route_bounds
-        self.chance = chance
+        self.rng = rng
         self.endpoints = endpoints
         self.on_ring = on_ring
         self.backends: dict[str, Backend] = {}
@@ -37,7 +37,7 @@
         if backend is None:
             backend = self.add(now, entry)
         elif entry.started is not None and entry.started != backend.started:
-            backend.forget(now, self.chance)
+            backend.forget(now, self.rng)
         backend.learn(entry, entry.state == "healthy" and entry.name not in self.banned)
         self.endpoints.update(backend)
         started = entry.started
@@ -48,7 +48,7 @@
 
     def add(self, now: int, entry: Endpoint) -> Backend:
         """One that was not listed before."""
-        backend = self.backends[entry.name] = Backend(entry, now, self.chance)
+        backend = self.backends[entry.name] = Backend(entry, now, self.rng)
         if self.on_ring:
             backend.position = backend.key / KEY_RANGE
         self.by_key.add(backend)
@@ -74,7 +74,7 @@
         backend = self.backends.get(name)
         if backend is None:
             return
-        fresh = self.backends[name] = Backend(backend.endpoint, now, self.chance)
+        fresh = self.backends[name] = Backend(backend.endpoint, now, self.rng)
         fresh.position, fresh.ban_lifted_at, fresh.started = backend.position, now, now
         self.discard(backend)
         self.by_key.add(fresh)
--- a/basalthoist/decisions/slow_start.py
+++ b/basalthoist/decisions/slow_start.py
@@ -25,11 +25,11 @@
         "tokens_at",
     )
 
-    def __init__(self, now: int, chance: Lcg) -> None:
+    def __init__(self, now: int, rng: Lcg) -> None:
         self.warm_at: int = 0
         self.rate: float = 0.0
         # Guards against hundreds of nodes that each send a new backend one at the same time.
-        self.tokens: float = chance.uniform()
+        self.tokens: float = rng.uniform()
         self.tokens_at: int = now
 
     def refill(self, now: int) -> None:
--- a/basalthoist/emulator/backends.py
+++ b/basalthoist/emulator/backends.py
@@ -26,11 +26,11 @@
 
 class Server:
     def __init__(self, events: Events, name: str, location: int, pod: int, kind: Kind, kind_no: int,
-                 of: Backends, chance: Random, ran: Callable[[int, str], None],
+                 of: Backends, rng: Random, ran: Callable[[int, str], None],
                  fell: Callable[["Server"], None]) -> None:  # fmt: skip
         self.events, self.name, self.location, self.pod, self.kind, self.kind_no = (
             events, name, location, pod, kind, kind_no)  # fmt: skip
-        self.of, self.chance, self.ran, self.fell = of, chance, ran, fell
+        self.of, self.rng, self.ran, self.fell = of, rng, ran, fell
         self.alive, self.draining, self.frozen, self.listed = True, False, False, True
         self.slow, self.good = 1.0, 1.0  # factor on its times; share of the exchanges that it does not fail
         self.started: int | None = None
@@ -86,7 +86,7 @@
     def begin(self, job: Job) -> None:
         self.running.add(job)
         self.ran(job.ident, self.name)
-        failed = self.good < 1.0 and self.chance.random() > self.good
+        failed = self.good < 1.0 and self.rng.random() > self.good
         took = ERROR_TIME if failed else self.time_for(job.work)
         job.ends_at = self.events.now + int(took)
         job.due = self.events.after(
@@ -157,7 +157,7 @@
         self.pushed.append((self.events.now, work / SECOND))
         while self.pushed[0][0] <= self.events.now - window:
             self.pushed.popleft()
-        allowed = multiple * self.capacity() * self.of.fall_s + 4 * work / SECOND  # a little slack for chance
+        allowed = multiple * self.capacity() * self.of.fall_s + 4 * work / SECOND  # a little slack for rng
         if sum(part for _, part in self.pushed) <= allowed:
             return False
         self.fell(self)
--- a/basalthoist/emulator/baselines.py
+++ b/basalthoist/emulator/baselines.py
@@ -14,11 +14,11 @@
     """Sends to what `choose` names, tries again elsewhere where that is allowed, and sheds when it can't."""
 
     def __init__(self, host, seed: int, settings: dict, now: int) -> None:
-        self.host, self.settings, self.chance = host, settings, Random(seed)
+        self.host, self.settings, self.rng = host, settings, Random(seed)
         self.fit: dict[str, object] = {}
         self.open: dict[int, dict] = {}
         self.out: dict[str, int] = {}
-        self.turn = self.chance.randrange(1 << 30)
+        self.turn = self.rng.randrange(1 << 30)
 
     def choose(self, names: list[str], now: int) -> str:
         raise NotImplementedError
@@ -108,7 +108,7 @@
 
 class RandomChoice(Plain):
     def choose(self, names: list[str], now: int) -> str:
-        return self.chance.choice(names)
+        return self.rng.choice(names)
 
 
 class RoundRobin(Plain):
@@ -120,12 +120,12 @@
 class LeastOutstanding(Plain):
     def choose(self, names: list[str], now: int) -> str:
         least = min(self.out.get(name, 0) for name in names)
-        return self.chance.choice([name for name in names if self.out.get(name, 0) == least])
+        return self.rng.choice([name for name in names if self.out.get(name, 0) == least])
 
 
 class TwoChoices(Plain):
     def choose(self, names: list[str], now: int) -> str:
-        return min(self.chance.sample(names, min(2, len(names))), key=lambda name: self.out.get(name, 0))
+        return min(self.rng.sample(names, min(2, len(names))), key=lambda name: self.out.get(name, 0))
 
 
 class Oracle(Plain):
@@ -139,7 +139,7 @@
             there = server.alive and not server.frozen and not server.draining
             there = there and fleet.paths.open(self.host.location, server.location)
             if not there:
-                return 1e9 + self.chance.random()
+                return 1e9 + self.rng.random()
             return (server.held() + self.host.fleet.under_way(name) + 1) / (server.capacity() * server.good)
 
         return min(names, key=wait)
--- a/basalthoist/emulator/clients.py
+++ b/basalthoist/emulator/clients.py
@@ -1,4 +1,4 @@
-"""Open-loop clients: they come by chance, wait no longer than they said, try again where it is harmless."""
+"""Open-loop clients: they come by rng, wait no longer than they said, try again where it is harmless."""
 
 from math import log, sqrt
 from random import Random
@@ -7,15 +7,15 @@
 from .scenario import Route
 
 
-def work_of(route: Route, chance: Random) -> float:
+def work_of(route: Route, rng: Random) -> float:
     """Tenths of a millisecond on a warm backend of speed 1, drawn once for an exchange."""
     mean = 10 * route.service_ms
     if route.distribution == "constant" or route.distribution == "lognormal" and not route.spread:
         return mean
     if route.distribution == "exponential":
-        return chance.expovariate(1 / mean)
+        return rng.expovariate(1 / mean)
     sigma = sqrt(log(1 + route.spread**2))
-    return mean * chance.lognormvariate(-sigma * sigma / 2, sigma)
+    return mean * rng.lognormvariate(-sigma * sigma / 2, sigma)
 
 
 class Client:
@@ -80,7 +80,7 @@
         if not harmless or self.tries > self.crowd.load.retries:
             return self.end(final)
         wait = max(advice, 10 * self.crowd.load.backoff_ms * 2 ** (self.tries - 1))
-        self.crowd.events.after(wait * (0.5 + self.crowd.chance("backoff").random()), self.ask)
+        self.crowd.events.after(wait * (0.5 + self.crowd.rng("backoff").random()), self.ask)
 
     def end(self, final: str) -> None:
         if not self.ended:
@@ -90,7 +90,7 @@
 
 class Crowd:
     def __init__(self, fleet, results) -> None:
-        self.fleet, self.results, self.events, self.chance = fleet, results, fleet.events, fleet.chance
+        self.fleet, self.results, self.events, self.rng = fleet, results, fleet.events, fleet.rng
         scenario = fleet.scenario
         self.load, self.routes = scenario.load, scenario.routes
         self.timeouts = [int(route.timeout_ms * 10) for route in scenario.routes]
@@ -107,18 +107,18 @@
         self.events.after(self.gap(), self.come)
 
     def gap(self) -> float:
-        return self.chance("arrivals").expovariate(self.load.rate * self.factor / SECOND)
+        return self.rng("arrivals").expovariate(self.load.rate * self.factor / SECOND)
 
     def come(self) -> None:
         if self.events.now >= self.stop_at:
             return
-        chance = self.chance("exchanges")
-        route_number = chance.choices(range(len(self.routes)), self.shares)[0]
-        customer = chance.choices(range(len(self.customers)), self.customers)[0] if self.customers else 0
+        rng = self.rng("exchanges")
+        route_number = rng.choices(range(len(self.routes)), self.shares)[0]
+        customer = rng.choices(range(len(self.customers)), self.customers)[0] if self.customers else 0
         timeout = self.timeouts[route_number]
-        early = chance.random() < self.load.gives_up
+        early = rng.random() < self.load.gives_up
         patience = int(timeout * self.load.gives_up_after) if early else timeout
-        client = Client(self, route_number, customer, work_of(self.routes[route_number], chance), patience)
+        client = Client(self, route_number, customer, work_of(self.routes[route_number], rng), patience)
         self.results.come(client)
         client.ask()
         self.events.after(self.gap(), self.come)
--- a/basalthoist/emulator/faults.py
+++ b/basalthoist/emulator/faults.py
@@ -7,7 +7,7 @@
 
 class Timeline:
     def __init__(self, fleet) -> None:
-        self.fleet, self.events, self.chance = fleet, fleet.events, fleet.chance("faults")
+        self.fleet, self.events, self.rng = fleet, fleet.events, fleet.rng("faults")
         for fault in fleet.scenario.faults:
             self.events.after(fault.at_s * SECOND, lambda fault=fault: getattr(self, fault.kind)(fault))
 
@@ -18,7 +18,7 @@
         fleet = [s for s in self.fleet.servers.values() if s.listed and s.alive]
         fleet = [s for s in fleet if fault.location is None or s.location == fault.location]
         count = max(round(fault.part * len(fleet)), 1)
-        return self.chance.sample(fleet, min(count, len(fleet)))
+        return self.rng.sample(fleet, min(count, len(fleet)))
 
     def kill(self, fault: Fault) -> None:
         """Processes die and come back cold; the list says so late."""
@@ -95,5 +95,5 @@
         nodes = [n for n in self.fleet.nodes if n.alive]
         nodes = [n for n in nodes if fault.location is None or n.location == fault.location]
         count = min(max(round(fault.part * len(nodes)), 1), len(nodes))
-        for node in self.chance.sample(nodes, count):
+        for node in self.rng.sample(nodes, count):
             self.fleet.kill_node(node)
--- a/basalthoist/emulator/fleet.py
+++ b/basalthoist/emulator/fleet.py
@@ -30,7 +30,7 @@
         self.seed = scenario.seed if seed is None else seed
         self.events, self.streams = Events(), {}
         self.ledger = Ledger(scenario)
-        self.paths = Paths(scenario.network, self.chance("paths"))
+        self.paths = Paths(scenario.network, self.rng("paths"))
         self.results = Results(scenario, self.events)
         self.connect_timeout = int(scenario.network.connect_timeout_ms * 10)
         self.servers: dict[str, Server] = {}
@@ -45,7 +45,7 @@
             node.start(self.known[node.number])
         Timeline(self)
 
-    def chance(self, purpose: str) -> Random:
+    def rng(self, purpose: str) -> Random:
         """A stream for each purpose: all policies meet the same arrivals and faults."""
         if purpose not in self.streams:
             self.streams[purpose] = Random(self.seed << 32 | zlib.crc32(purpose.encode()))
@@ -79,7 +79,7 @@
         of, kind = self.scenario.backends, self.kind(kind_no)
         pod = number // self.scenario.locations // of.pod_size * self.scenario.locations + location
         server = self.make_server(self.events, f"s-{number}", location, pod, kind, kind_no, of,
-                                  self.chance("backends"), self.ran, self.fell)  # fmt: skip
+                                  self.rng("backends"), self.ran, self.fell)  # fmt: skip
         self.servers[server.name] = server
         return server
 
@@ -127,9 +127,9 @@
 
     def tell(self, entries: list[Endpoint]) -> None:
         """Each node hears of it late, in order, and by a time of its own."""
-        discovery, chance = self.scenario.discovery, self.chance("discovery")
+        discovery, rng = self.scenario.discovery, self.rng("discovery")
         for node in self.nodes if hasattr(self, "nodes") else ():
-            wait = (discovery.lag_s + discovery.spread_s * chance.random()) * SECOND
+            wait = (discovery.lag_s + discovery.spread_s * rng.random()) * SECOND
             at = max(self.events.now + int(wait), self.told_from, self.noticed.get(node.number, 0))
             self.noticed[node.number] = at
             self.events.after(at - self.events.now, lambda node=node: self.told(node, entries))
@@ -149,7 +149,7 @@
     def node_for_client(self) -> EmulatedNode | None:
         """The front deals connections out; it notices late that a node has died."""
         front = [n for n in self.nodes if n.alive or self.events.now < getattr(n, "seen_until", 0)]
-        return self.chance("front").choice(front) if front else None
+        return self.rng("front").choice(front) if front else None
 
     def kill_node(self, node: EmulatedNode) -> None:
         if node.alive:
--- a/basalthoist/emulator/membership.py
+++ b/basalthoist/emulator/membership.py
@@ -31,8 +31,8 @@
         self.name: str = name
         self.alive: bool = True
         self.frozen: bool = False
-        chance = Lcg(fleet.chance.getrandbits(60))
-        self.members: Members = Members(self, name, incarnation, fleet.names, fleet.period, chance, fleet.at)
+        rng = Lcg(fleet.rng.getrandbits(60))
+        self.members: Members = Members(self, name, incarnation, fleet.names, fleet.period, rng, fleet.at)
         for member in self.members.members.values():
             member.incarnation = 1
 
@@ -60,7 +60,7 @@
         loss: float = 0.0,
         delay: tuple[int, int] = (2, 20),
     ) -> None:
-        self.chance: Random = Random(seed)
+        self.rng: Random = Random(seed)
         self.period: int = period
         self.loss: float = loss
         self.delay: tuple[int, int] = delay
@@ -73,7 +73,7 @@
         self.bytes: int = 0
         self.nodes: dict[str, MembershipNode] = {name: MembershipNode(self, name, 1) for name in self.names}
         for name in self.names:
-            self.later(self.chance.randrange(TICK), (name, None, None))
+            self.later(self.rng.randrange(TICK), (name, None, None))
 
     def later(self, after: int, what: tuple) -> None:
         """Lets an event happen after so long a time: recipient, sender and message, or a node's timer."""
@@ -84,8 +84,8 @@
         """Takes a message, which may be lost."""
         envelope = Envelope(source.name, INCARNATION, name, INCARNATION, message)
         self.bytes += len(ENCODE(envelope)) + OVERHEAD
-        if self.chance.random() >= self.loss and (source.name, name) not in self.cut:
-            self.later(self.chance.randint(*self.delay), (name, source.name, message))
+        if self.rng.random() >= self.loss and (source.name, name) not in self.cut:
+            self.later(self.rng.randint(*self.delay), (name, source.name, message))
 
     def run(self, seconds: float) -> None:
         """Lets so long a time pass."""
--- a/basalthoist/emulator/network.py
+++ b/basalthoist/emulator/network.py
@@ -6,8 +6,8 @@
 
 
 class Paths:
-    def __init__(self, network: Network, chance: Random) -> None:
-        self.network, self.chance = network, chance
+    def __init__(self, network: Network, rng: Random) -> None:
+        self.network, self.rng = network, rng
         self.cut_off: dict[int, int] = {}  # locations by how many faults cut them off
 
     def cut(self, location: int) -> None:
@@ -23,4 +23,4 @@
     def delay(self, one: int, other: int) -> float:
         """One way, in tenths of a millisecond."""
         mean = self.network.delay_ms if one == other else self.network.cross_ms
-        return 10 * mean * (1 + self.network.jitter * (2 * self.chance.random() - 1))
+        return 10 * mean * (1 + self.network.jitter * (2 * self.rng.random() - 1))
--- a/basalthoist/emulator/nodes.py
+++ b/basalthoist/emulator/nodes.py
@@ -50,7 +50,7 @@
     def start(self, entries: list[Endpoint]) -> None:
         self.alive, self.life = True, self.life + 1
         self.connected.clear()
-        seed = self.fleet.chance("seeds").getrandbits(63)
+        seed = self.fleet.rng("seeds").getrandbits(63)
         self.policy = self.fleet.make_policy(self, seed, self.fleet.settings_of(self), self.events.now)
         self.on_endpoint_list(entries, True)
 
@@ -245,7 +245,7 @@
         for number in peers:
             peer = self.fleet.nodes[number]
             self.counts["words"] += 1
-            lost = self.fleet.chance("words").random() < self.fleet.scenario.network.message_loss
+            lost = self.fleet.rng("words").random() < self.fleet.scenario.network.message_loss
             if peer.alive and not lost and self.paths.open(self.location, peer.location):
                 told = peer.in_this_life(peer.tell_policy, peer.policy.on_gossip, self.number, words)
                 self.events.after(self.paths.delay(self.location, peer.location), told)
--- a/basalthoist/emulator/ramp.py
+++ b/basalthoist/emulator/ramp.py
@@ -1,7 +1,7 @@
 """How near to falling over a cold backend comes under the sum of all nodes, at every instant of its ramp.
 
 Times are whole tenths of a millisecond, work is counted in requests of mean work. N is what the settings
-allow within `overload_for` by the capacity of that moment; 2 root N + 2 more pass for chance.
+allow within `overload_for` by the capacity of that moment; 2 root N + 2 more pass for rng.
 """
 
 from collections import deque
@@ -47,13 +47,13 @@
         return self.sent - self.allowed
 
     @property
-    def chance(self) -> float:
+    def rng(self) -> float:
         return 2 * sqrt(self.allowed) + 2
 
     @property
     def part(self) -> float:
         """Of what it stands; it falls over 1."""
-        return self.sent / (self.allowed + self.chance)
+        return self.sent / (self.allowed + self.rng)
 
 
 def judge(
@@ -147,7 +147,7 @@
         return 0
 
     def node_for_client(self):
-        return self.chance("front").choices(self.nodes, self.weights)[0]
+        return self.rng("front").choices(self.nodes, self.weights)[0]
 
     def settings_of(self, node) -> dict:
         return super().settings_of(node) | {"rules.fall_multiple": self.case.multiple}
--- a/basalthoist/emulator/replica_faults.py
+++ b/basalthoist/emulator/replica_faults.py
@@ -12,12 +12,12 @@
 
 
 class FaultInjector:
-    """Faults by chance. Memory and file are lost together by a minority of the voters at most."""
+    """Faults by rng. Memory and file are lost together by a minority of the voters at most."""
 
     def __init__(self, fleet: Replicas, faults: int) -> None:
         self.fleet: Replicas = fleet
         self.faults: int = faults
-        self.chance: Random = fleet.chance
+        self.rng: Random = fleet.rng
         self.calls: int = 0
         self.history: list[str] = []
 
@@ -34,7 +34,7 @@
 
     def inject_next(self, usual_delay: tuple[int, int]) -> None:
         """Waits for a while and injects a fault."""
-        fleet, draw = self.fleet, self.chance
+        fleet, draw = self.fleet, self.rng
         fleet.run(fleet.at + int(draw.expovariate(1 / (0.7 * fleet.bounds.lease))))
         name = draw.choice(fleet.names)
         if draw.random() < LEADER_PROBABILITY:
@@ -65,7 +65,7 @@
 
     def inject(self, kind: str, name: str, lasts: int, usual_delay: tuple[int, int]) -> None:
         """Injects one fault at that node, or where it has none of its own on the links."""
-        names = self.chance.sample(self.fleet.names, len(self.fleet.names))
+        names = self.rng.sample(self.fleet.names, len(self.fleet.names))
         if kind in ("kill", "lose"):
             self.crash(name, lasts, keeps=kind == "kill" or not self.may_lose(name))
         elif kind == "freeze" and self.fleet.replica_nodes[name].replica is not None:
@@ -88,14 +88,14 @@
 
     def split(self, names: list[str], lasts: int) -> None:
         """Cuts the fleet into two or three sides."""
-        first, second = sorted((self.chance.randrange(1, len(names)), self.chance.randrange(1, len(names))))
+        first, second = sorted((self.rng.randrange(1, len(names)), self.rng.randrange(1, len(names))))
         sides = names[:first], names[first:second], names[second:]
         self.fleet.split(*[side for side in sides if side])
         self.fleet.later(lasts, (self.fleet.heal,))
 
     def cut_one_way(self, name: str, names: list[str], lasts: int) -> None:
         """Cuts links of the node to some others, or of these to it."""
-        draw = self.chance
+        draw = self.rng
         others = draw.sample([other for other in names if other != name], draw.randint(1, len(names) - 1))
         self.fleet.cut |= {(name, other) if draw.random() < 0.5 else (other, name) for other in others}
         self.fleet.later(lasts, (self.fleet.heal,))
@@ -103,12 +103,12 @@
     def call(self, name: str) -> None:
         """An operator bans a backend or takes that back."""
         self.calls += 1
-        change = Verdict(BAN, f"s{self.chance.randrange(SUBJECTS)}", self.chance.random() < 0.6)
+        change = Verdict(BAN, f"s{self.rng.randrange(SUBJECTS)}", self.rng.random() < 0.6)
         self.fleet.call(name, self.calls, [change])
 
     def slow_links(self, usual_delay: tuple[int, int]) -> None:
         """Links lose, double and delay messages from now on."""
-        fleet, draw, lease = self.fleet, self.chance, self.fleet.bounds.lease
+        fleet, draw, lease = self.fleet, self.rng, self.fleet.bounds.lease
         fleet.loss, fleet.double = draw.choice((0.0, 0.1, 0.3)), draw.choice((0.0, 0.3))
         fleet.delay = draw.choice((usual_delay, (2, lease // 2), (2, 2 * lease)))
 
--- a/basalthoist/emulator/search.py
+++ b/basalthoist/emulator/search.py
@@ -11,20 +11,20 @@
 KINDS = ("kill", "freeze", "cut", "slow", "errors", "drain", "replace", "surge", "stale", "kill_nodes")
 
 
-def draw(scenario: Scenario, chance: Random, most: int = 5) -> Scenario:
+def draw(scenario: Scenario, rng: Random, most: int = 5) -> Scenario:
     """The same fleet and load on another day: two to `most` faults that may overlap."""
     faults = []
-    for _ in range(chance.randint(2, max(most, 2))):
-        kind = chance.choice(KINDS)
+    for _ in range(rng.randint(2, max(most, 2))):
+        kind = rng.choice(KINDS)
         faults.append(Fault(
-            kind=kind, at_s=round(chance.uniform(0.1, 0.7) * scenario.length_s, 1),
-            for_s=round(chance.uniform(0.5, 0.3 * scenario.length_s), 1),
-            part=round(chance.uniform(0.1, 0.9), 2),
-            location=chance.choice([None, chance.randrange(scenario.locations)]),
-            factor=round(chance.uniform(1.2, 6.0), 1),
+            kind=kind, at_s=round(rng.uniform(0.1, 0.7) * scenario.length_s, 1),
+            for_s=round(rng.uniform(0.5, 0.3 * scenario.length_s), 1),
+            part=round(rng.uniform(0.1, 0.9), 2),
+            location=rng.choice([None, rng.randrange(scenario.locations)]),
+            factor=round(rng.uniform(1.2, 6.0), 1),
         ))  # fmt: skip
     faults.sort(key=lambda fault: fault.at_s)
-    return msgspec.structs.replace(scenario, faults=tuple(faults), seed=chance.getrandbits(31))
+    return msgspec.structs.replace(scenario, faults=tuple(faults), seed=rng.getrandbits(31))
 
 
 def broken(scenario: Scenario, make_policy: Callable) -> frozenset[str]:
@@ -59,9 +59,9 @@
 
 def search(scenario: Scenario, make_policy: Callable, days: int, seed: int, said=lambda line: None):
     """Yields each day found, shrunk, with the rules that it breaks."""
-    chance = Random(seed)
+    rng = Random(seed)
     for number in range(days):
-        day = draw(scenario, chance)
+        day = draw(scenario, rng)
         rules = broken(day, make_policy)
         said(f"day {number}: {', '.join(sorted(rules)) or 'rules kept'}")
         if rules:
--- a/basalthoist/emulator/storms.py
+++ b/basalthoist/emulator/storms.py
@@ -38,12 +38,12 @@
 
 
 class DistributionFaultInjector:
-    """Faults by chance. Memory and disk are lost together by a minority of the voters at most, at once."""
+    """Faults by rng. Memory and disk are lost together by a minority of the voters at most, at once."""
 
     def __init__(self, world: Distributed, faults: int, call_chance: float = 0.5, gap: float = 0.0) -> None:
         self.world = world
         self.faults = faults
-        self.random = world.chance
+        self.random = world.rng
         self.call_chance = call_chance
         self.injected: list[str] = []  # for whoever reads a failure
         self.gap: float = gap or self.random.choice(GAPS)
--- a/basalthoist/experiments/cluster/relay.py
+++ b/basalthoist/experiments/cluster/relay.py
@@ -14,23 +14,23 @@
 class Way:
     """One direction. Faults count how many of the timeline's events ask for them."""
 
-    def __init__(self, chance: Random) -> None:
-        self.chance, self.cut, self.stalled, self.late_ms = chance, 0, 0, []
+    def __init__(self, rng: Random) -> None:
+        self.rng, self.cut, self.stalled, self.late_ms = rng, 0, 0, []
         self.lose, self.double, self.corrupt = [], [], []
         self.waiting: list[bytes] = []
         self.passed = 0
 
     def take(self, data: bytes, deliver) -> None:
-        if self.cut or any(self.chance.random() < part for part in self.lose):
+        if self.cut or any(self.rng.random() < part for part in self.lose):
             return
         if self.stalled:
             self.waiting.append(data)
             return
-        if any(self.chance.random() < part for part in self.corrupt):
-            at = self.chance.randrange(len(data))
-            data = data[:at] + bytes([data[at] ^ 1 << self.chance.randrange(8)]) + data[at + 1 :]
-        for _ in range(1 + any(self.chance.random() < part for part in self.double)):
-            wait = sum(self.chance.uniform(0, ms) for ms in self.late_ms) / 1000
+        if any(self.rng.random() < part for part in self.corrupt):
+            at = self.rng.randrange(len(data))
+            data = data[:at] + bytes([data[at] ^ 1 << self.rng.randrange(8)]) + data[at + 1 :]
+        for _ in range(1 + any(self.rng.random() < part for part in self.double)):
+            wait = sum(self.rng.uniform(0, ms) for ms in self.late_ms) / 1000
             if wait:
                 asyncio.get_running_loop().call_later(wait, deliver, data)
             else:
@@ -59,10 +59,10 @@
 class Mesh:
     """`nodes`: where each process listens for the fleet's words."""
 
-    def __init__(self, nodes: list[Address], chance: Random) -> None:
+    def __init__(self, nodes: list[Address], rng: Random) -> None:
         self.nodes, count = nodes, len(nodes)
         self.pairs = [(i, j) for i in range(count) for j in range(count) if i != j]
-        self.ways = {pair: Way(chance) for pair in self.pairs}
+        self.ways = {pair: Way(rng) for pair in self.pairs}
         self.ends: dict[tuple[int, int], End] = {}
         self.doors: list[Door] = []
 
--- a/basalthoist/experiments/cluster/rig.py
+++ b/basalthoist/experiments/cluster/rig.py
@@ -121,7 +121,7 @@
     """`say` gets a line for each thing that happens; `off`: the nodes are told of no fleet, to compare."""
 
     def __init__(self, told: Timeline, folder: Path, say=lambda line: None, off: bool = False) -> None:
-        self.told, self.folder, self.say, self.chance, self.off = told, folder, say, Random(told.seed), off
+        self.told, self.folder, self.say, self.rng, self.off = told, folder, say, Random(told.seed), off
         self.runs: list[checker.Run] = []
         self.calls: list[checker.Said] = []
         self.failing = Counter()  # by backend and node
@@ -148,7 +148,7 @@
         agent = await open_discovery(members)
         machines = {machine.node: machine for machine in told.machines}
         self.nodes += [Node(self, n, machines.get(n, Machine(n))) for n in range(told.nodes)]
-        self.mesh = Mesh([address_of(own_address()) for _ in self.nodes], self.chance)
+        self.mesh = Mesh([address_of(own_address()) for _ in self.nodes], self.rng)
         await self.mesh.open()
         self.doors = [await self.mesh.door(address_of(agent)) for _ in self.nodes]
         for node, door in zip(self.nodes, self.doors, strict=True):
@@ -220,7 +220,7 @@
                 self.failing[event.backend, number] += more
             else:
                 self.doors[number].set_cut(more)
-                if begins and self.chance.random() < 0.5:
+                if begins and self.rng.random() < 0.5:
                     self.doors[number].reset()
 
     async def on_links(self, event: Event, who: list[int]) -> None:
--- a/basalthoist/experiments/cluster/timeline.py
+++ b/basalthoist/experiments/cluster/timeline.py
@@ -23,7 +23,7 @@
     """`who`: nodes by number, or "author". A link fault lies between them and `others`, or all others.
 
     cut: nothing passes either way; one_way: nothing passes from `who`; stall: held back, then all let go;
-    delay: up to `ms` later, by chance, so also out of order; lose, double, corrupt: a `part` of all;
+    delay: up to `ms` later, by rng, so also out of order; lose, double, corrupt: a `part` of all;
     kill: SIGKILL, and a new start at the end, with its folder kept, lost or as it was at its start before;
     freeze: SIGSTOP to SIGCONT; discovery: cut off from it; fails: `backend` answers 500 to `who`;
     hot: `times` as many requests come to `who`.
@@ -105,34 +105,34 @@
 
 
 def drawn(seed: int, nodes: int = 0, length_s: float = 12.0) -> Timeline:
-    """A timeline by chance: two to five faults that overlap, some on the author, and calls between them.
+    """A timeline by rng: two to five faults that overlap, some on the author, and calls between them.
 
-    `nodes` 0: five to nine, by chance too."""
-    chance = Random(seed)
-    nodes = nodes or chance.choice((5, 5, 6, 7, 9))
+    `nodes` 0: five to nine, by rng too."""
+    rng = Random(seed)
+    nodes = nodes or rng.choice((5, 5, 6, 7, 9))
     events, bans = [], []
-    for _ in range(chance.randint(2, 5)):
-        kind = chance.choice((*LINK, *PROCESS, *PROCESS, "cut", "discovery", "fails", "hot"))
-        who = ["author"] if chance.random() < 0.4 else [chance.randrange(nodes)]
-        if kind in ("cut", "delay", "lose", "fails") and chance.random() < 0.5:
-            who = sorted(chance.sample(range(nodes), chance.randint(1, nodes // 2)))
-        at, lasts = chance.uniform(2.5, length_s - 4), chance.choice((0.4, 1.0, 2.5, 4.0))
-        folder = chance.choice(("kept", "kept", "lost", "old"))
-        events.append(Event(kind, round(at, 2), lasts, who, [], chance.choice((0.1, 0.3)),
-                            chance.choice((30.0, 300.0)), folder, 3))  # fmt: skip
+    for _ in range(rng.randint(2, 5)):
+        kind = rng.choice((*LINK, *PROCESS, *PROCESS, "cut", "discovery", "fails", "hot"))
+        who = ["author"] if rng.random() < 0.4 else [rng.randrange(nodes)]
+        if kind in ("cut", "delay", "lose", "fails") and rng.random() < 0.5:
+            who = sorted(rng.sample(range(nodes), rng.randint(1, nodes // 2)))
+        at, lasts = rng.uniform(2.5, length_s - 4), rng.choice((0.4, 1.0, 2.5, 4.0))
+        folder = rng.choice(("kept", "kept", "lost", "old"))
+        events.append(Event(kind, round(at, 2), lasts, who, [], rng.choice((0.1, 0.3)),
+                            rng.choice((30.0, 300.0)), folder, 3))  # fmt: skip
     on: set[int] = set()
-    for number in range(chance.randint(3, 6)):
-        backend = chance.randrange(3)  # one is never banned
+    for number in range(rng.randint(3, 6)):
+        backend = rng.randrange(3)  # one is never banned
         at = round(2.5 + (length_s - 5) * number / 6, 2)
-        bans.append(Ban(at, backend, chance.randrange(nodes), backend not in on))
+        bans.append(Ban(at, backend, rng.randrange(nodes), backend not in on))
         on ^= {backend}
     lies = ("", "", "forgets", "torn", "no_space", "bad_write", "bad_read", "flip", "slow")
-    clocks = [(chance.choice((0.999, 1.0, 1.001)), chance.choice((0.0, 0.0, 7200.0))) for _ in range(nodes)]
-    machines = [Machine(n, chance.choice(lies), *clock) for n, clock in enumerate(clocks)]
+    clocks = [(rng.choice((0.999, 1.0, 1.001)), rng.choice((0.0, 0.0, 7200.0))) for _ in range(nodes)]
+    machines = [Machine(n, rng.choice(lies), *clock) for n, clock in enumerate(clocks)]
     voters = nodes if nodes % 2 else nodes - 1
     return Timeline("drawn", seed, nodes, voters, length_s=length_s, bans=bans, events=events,
-                    machines=machines, sick_from=chance.choice((0, 2)), sick_s=2.0,
-                    limit=chance.choice((0.0, 60.0)), burst=14.0)  # fmt: skip
+                    machines=machines, sick_from=rng.choice((0, 2)), sick_s=2.0,
+                    limit=rng.choice((0.0, 60.0)), burst=14.0)  # fmt: skip
 
 
 __all__ = ["Ban", "Event", "Machine", "ScenarioError", "Timeline", "drawn", "read"]
--- a/basalthoist/experiments/distributed/hollow.py
+++ b/basalthoist/experiments/distributed/hollow.py
@@ -32,8 +32,8 @@
     def __init__(self, worker: "Worker", told: DistributionDocument, made: dict, folder: str) -> None:
         self.worker, self.name, self.region, self.made = worker, made["name"], told.region, made
         self.reached, self.stalled = None, False  # the latest version acted on
-        self.chance = Random(made["name"])
-        self.names = [f"t{self.chance.randrange(made['all']):06}" for _ in range(made["tenants"])]
+        self.rng = Random(made["name"])
+        self.names = [f"t{self.rng.randrange(made['all']):06}" for _ in range(made["tenants"])]
         self.began_at, self.first_at, self.proven_at = time.monotonic(), 0.0, 0.0
         super().__init__(worker.loop, told, made["name"], folder, worker.timers, worker.log, worker.aside)
 
@@ -69,7 +69,7 @@
 
     def turn(self) -> None:
         self.tick()
-        whose, all_there = self.chance, self.made["all"]
+        whose, all_there = self.rng, self.made["all"]
         name = f"t{whose.randrange(all_there):06}" if whose.random() < NEW else whose.choice(self.names)
         self.subscriber.tenants.look_up(boot_time_now(), name)
 
--- a/basalthoist/experiments/distributed/play.py
+++ b/basalthoist/experiments/distributed/play.py
@@ -49,7 +49,7 @@
 
 class Run:
     def __init__(self, size: Size, seed: int, say: Callable[[str], None], times: dict) -> None:
-        self.size, self.seed, self.say, self.chance, self.times = size, seed, say, Random(seed), times
+        self.size, self.seed, self.say, self.rng, self.times = size, seed, say, Random(seed), times
         self.samples, self.looks, self.phases, self.events, self.calls = [], [], [], [], []
         self.result = {"size": size._asdict(), "seed": seed, "times": times}
         self.number, self.began, self.lates = 0, 0.0, []
@@ -115,12 +115,12 @@
         able = [one for one in self.operators if one.subscriber.connection.is_established]
         if not able:
             raise RunFailed("no operator has a relay")
-        return self.chance.choice(able)
+        return self.rng.choice(able)
 
     async def change(self, entries: list | None = None) -> dict:
         if entries is None:
             self.number += 1
-            entries = [sizes.change(self.number, self.size, self.chance)]
+            entries = [sizes.change(self.number, self.size, self.rng)]
         began, answered, said = await self.operator().change(entries)
         words = said.split()
         # One that was proposed may count or not: it is not waited for.
@@ -132,9 +132,9 @@
         return found
 
     async def changes(self, per_s: float, seconds: float, tolerant: bool = False) -> list[dict]:
-        """By chance, so many a second at the mean; each on its own."""
+        """By rng, so many a second at the mean; each on its own."""
         tasks, begun, due = [], time.monotonic(), time.monotonic()
-        while (due := due + self.chance.expovariate(per_s)) < begun + seconds:
+        while (due := due + self.rng.expovariate(per_s)) < begun + seconds:
             await asyncio.sleep(max(due - time.monotonic(), 0.0))
             tasks.append(asyncio.create_task(self.change()))
         found = await asyncio.gather(*tasks, return_exceptions=tolerant)
@@ -147,7 +147,7 @@
         self.began, self.timers = time.monotonic(), Timers(loop, lambda line: None)
         self.processes = Processes(self.size, folder, self.times)
         relays = {m.name: (m.address, m.region) for m in self.processes.machines}
-        entries = sizes.catalogue(self.size, relays, self.chance)
+        entries = sizes.catalogue(self.size, relays, self.rng)
         self.processes.seed(entries, HISTORY)
         self.result["entries"] = len(entries)
         del entries
@@ -226,7 +226,7 @@
                 await asyncio.sleep(0.5)
         self.note("first change", seconds=round(said["for"], 2), said=said["said"])
         empty = await processes.everywhere("freeze")
-        self.made = [sizes.node(number, size, seeds, self.chance) | {"all": size.tenants}
+        self.made = [sizes.node(number, size, seeds, self.rng) | {"all": size.tenants}
                      for number in range(size.nodes)]  # fmt: skip
         began = time.monotonic()
         regions = {machine.address: machine.region for machine in processes.machines}
@@ -418,14 +418,14 @@
                 "all_s": round(time.monotonic() - began, 2)}  # fmt: skip
 
     async def zone_started(self) -> dict:
-        made = self.chance.sample(self.made, min(300, self.size.nodes // 2))
+        made = self.rng.sample(self.made, min(300, self.size.nodes // 2))
         await self.take_out(made)
         await asyncio.sleep(3.0)
         return await self.put_back(made, "nothing")
 
     async def files(self) -> dict:
         """Twenty with torn files and twenty with files of a time before."""
-        made = self.chance.sample(self.made, min(40, self.size.nodes // 2))
+        made = self.rng.sample(self.made, min(40, self.size.nodes // 2))
         torn, reverted = made[::2], made[1::2]
         await self.processes.everywhere("copy", names=[one["name"] for one in reverted])
         await self.changes(10.0, 5.0)
@@ -437,14 +437,14 @@
 
     async def behind(self) -> dict:
         """Twenty nodes miss a thousand versions, of which the rest takes no notice when they come back."""
-        made = self.chance.sample(self.made, min(20, self.size.nodes // 2))
+        made = self.rng.sample(self.made, min(20, self.size.nodes // 2))
         before = (await self.look())["least"]
         await self.take_out(made)
         self.stopped = made
         last = 0
         until = time.monotonic() + 160.0
         while last - before < 1_000 and time.monotonic() < until:
-            entries = [sizes.change(n, self.size, self.chance) for n in range(10)]
+            entries = [sizes.change(n, self.size, self.rng) for n in range(10)]
             for entry in entries:  # each a version of its own
                 asyncio.get_running_loop().create_task(self.quietly(entry))
                 await asyncio.sleep(self.times["batch_s"] + 0.005)
--- a/basalthoist/experiments/distributed/sizes.py
+++ b/basalthoist/experiments/distributed/sizes.py
@@ -30,51 +30,51 @@
     return REGIONS[number % len(REGIONS)]
 
 
-def members(service: int, size: Size, chance: Random) -> list[str]:
+def members(service: int, size: Size, rng: Random) -> list[str]:
     each, net = max(size.backends // size.services, 1), f"10.{service >> 8 & 255}.{service & 255}"
-    return [f"{net}.{chance.randrange(1, 255)}:{8000 + number}" for number in range(each)]
+    return [f"{net}.{rng.randrange(1, 255)}:{8000 + number}" for number in range(each)]
 
 
-def route(number: int, size: Size, chance: Random) -> Entry:
-    body = {"overall_timeout": chance.randrange(500, 5_000) * 1000, "value": float(chance.randrange(1, 9))}
+def route(number: int, size: Size, rng: Random) -> Entry:
+    body = {"overall_timeout": rng.randrange(500, 5_000) * 1000, "value": float(rng.randrange(1, 9))}
     return Entry("route", f"r{number:05}", f"s{number % size.services:04}", body)
 
 
-def backends(service: int, size: Size, chance: Random) -> Entry:
-    return Entry("backends", f"b{service:04}", f"s{service:04}", {"members": members(service, size, chance)})
+def backends(service: int, size: Size, rng: Random) -> Entry:
+    return Entry("backends", f"b{service:04}", f"s{service:04}", {"members": members(service, size, rng)})
 
 
-def tenant(number: int, chance: Random) -> Entry:
-    return Entry("tenant", f"t{number:06}", "", {"quota_per_s": float(chance.randrange(1, 400))})
+def tenant(number: int, rng: Random) -> Entry:
+    return Entry("tenant", f"t{number:06}", "", {"quota_per_s": float(rng.randrange(1, 400))})
 
 
-def catalogue(size: Size, relays: dict[str, tuple[str, str]], chance: Random) -> list[Entry]:
+def catalogue(size: Size, relays: dict[str, tuple[str, str]], rng: Random) -> list[Entry]:
     """`relays`: names to address and region."""
     found = [Entry("relay", name, "", {"address": at, "region": r}) for name, (at, r) in relays.items()]
     found += [Entry("service", f"s{number:04}", f"s{number:04}") for number in range(size.services)]
-    found += [route(number, size, chance) for number in range(size.routes)]
-    found += [backends(number, size, chance) for number in range(size.services)]
-    return found + [tenant(number, chance) for number in range(size.tenants)]
+    found += [route(number, size, rng) for number in range(size.routes)]
+    found += [backends(number, size, rng) for number in range(size.services)]
+    return found + [tenant(number, rng) for number in range(size.tenants)]
 
 
-def change(number: int, size: Size, chance: Random) -> Entry:
+def change(number: int, size: Size, rng: Random) -> Entry:
     """One of a day's: a quota, a route, a set of backends, a verdict, or a tenant that is new."""
-    kind = chance.random()
+    kind = rng.random()
     if kind < 0.4:
-        return tenant(chance.randrange(size.tenants), chance)
+        return tenant(rng.randrange(size.tenants), rng)
     if kind < 0.65:
-        return route(chance.randrange(size.routes), size, chance)
+        return route(rng.randrange(size.routes), size, rng)
     if kind < 0.9:
-        return backends(chance.randrange(size.services), size, chance)
+        return backends(rng.randrange(size.services), size, rng)
     if kind < 0.95:
-        subject = f"x{chance.randrange(10**6)}"
+        subject = f"x{rng.randrange(10**6)}"
         return Entry("verdict", f"v{number % 50}", "", {"kind": "ban", "subject": subject})
-    return Entry("tenant", f"new{number:06}-{chance.randrange(10**6)}", "", {"quota_per_s": 5.0})
+    return Entry("tenant", f"new{number:06}-{rng.randrange(10**6)}", "", {"quota_per_s": 5.0})
 
 
-def node(number: int, size: Size, seeds: dict[str, list[str]], chance: Random) -> dict:
+def node(number: int, size: Size, seeds: dict[str, list[str]], rng: Random) -> dict:
     """It fronts a few services; tens to hundreds of tenants come to it. Its seeds are its region's relays."""
-    scopes = [f"s{chance.randrange(size.services):04}" for _ in range(chance.randint(1, 6))]
-    count = min(int(10 ** chance.uniform(1.3, 2.6)), size.tenants)
+    scopes = [f"s{rng.randrange(size.services):04}" for _ in range(rng.randint(1, 6))]
+    count = min(int(10 ** rng.uniform(1.3, 2.6)), size.tenants)
     return {"name": f"n{number:05}", "region": region_of(number), "scopes": sorted(set(scopes)),
             "seeds": seeds[region_of(number)], "tenants": count}  # fmt: skip
--- a/basalthoist/experiments/loopback.py
+++ b/basalthoist/experiments/loopback.py
@@ -120,7 +120,7 @@
     def __init__(self, scenario: Scenario, addresses: list, seconds: float, name: str = "r") -> None:
         self.name, self.asked_at, self.kept_at, self.factor = name, {}, {}, 1.0
         self.scenario, self.addresses, self.seconds = scenario, addresses, seconds
-        self.chance = Random(scenario.seed)
+        self.rng = Random(scenario.seed)
         self.idle: dict[tuple[str, int], list] = {address: [] for address in addresses}
         self.lateness = HdrHistogram(1, 60_000_000, 3)
         self.times = HdrHistogram(1, 60_000_000, 3)
@@ -135,7 +135,7 @@
         began, at, asked = time.perf_counter(), 0.0, set()
         self.began = began
         while at < self.seconds:
-            at += self.chance.expovariate(self.scenario.load.rate * self.factor)
+            at += self.rng.expovariate(self.scenario.load.rate * self.factor)
             if (wait := began + at - time.perf_counter()) > 0:
                 await asyncio.sleep(wait)
             task = asyncio.create_task(self.ask(began + at))
@@ -146,8 +146,8 @@
     async def ask(self, meant_at: float) -> None:
         self.lateness.record_value(max(int((time.perf_counter() - meant_at) * 1e6), 1))
         routes = self.scenario.routes
-        route = self.chance.choices(routes, [r.share for r in routes])[0]
-        work, address = work_of(route, self.chance), self.chance.choice(self.addresses)
+        route = self.rng.choices(routes, [r.share for r in routes])[0]
+        work, address = work_of(route, self.rng), self.rng.choice(self.addresses)
         self.counts["offered"] += 1
         self.value += route.value
         self.last += 1
--- a/basalthoist/experiments/scale/load.py
+++ b/basalthoist/experiments/scale/load.py
@@ -21,8 +21,8 @@
 
     held = 0
 
-    def __init__(self, work_s: float, chance: Random) -> None:
-        self.work_s, self.chance, self.text = work_s, chance, b""
+    def __init__(self, work_s: float, rng: Random) -> None:
+        self.work_s, self.rng, self.text = work_s, rng, b""
 
     def connection_made(self, transport) -> None:
         self.transport = transport
@@ -35,7 +35,7 @@
                 self.answer(False)
             else:
                 Backend.held += 1
-                work = self.chance.gammavariate(4.0, self.work_s / 4.0)
+                work = self.rng.gammavariate(4.0, self.work_s / 4.0)
                 asyncio.get_running_loop().call_later(work, self.answer, True)
 
     def answer(self, worked: bool) -> None:
@@ -77,14 +77,14 @@
                  seed: int) -> None:  # fmt: skip
         host, _, port = address.rpartition(":")
         self.address, self.rate, self.seconds = (host, int(port)), rate, seconds
-        self.routes, self.tenants, self.chance = routes, tenants, Random(seed)
+        self.routes, self.tenants, self.rng = routes, tenants, Random(seed)
         self.idle: list[Asking] = []
         self.late_ms, self.found = [], []
 
     async def run(self) -> dict:
         began, at, asked, number = time.monotonic(), 0.0, set(), 0
         while at < self.seconds:
-            at += self.chance.expovariate(self.rate)
+            at += self.rng.expovariate(self.rate)
             if (wait := began + at - time.monotonic()) > 0:
                 await asyncio.sleep(wait)
             number += 1
@@ -95,8 +95,8 @@
         return {"found": self.found, "late_ms": sorted(self.late_ms), "offered": number}
 
     async def ask(self, meant_at: float, number: int, counts: bool) -> None:
-        route = int(self.routes * self.chance.random() ** 3)  # skewed: half of it goes to an eighth of them
-        tenant = int(self.tenants * self.chance.random() ** 3)
+        route = int(self.routes * self.rng.random() ** 3)  # skewed: half of it goes to an eighth of them
+        tenant = int(self.tenants * self.rng.random() ** 3)
         if self.idle:
             line = self.idle.pop()
         else:
@@ -119,9 +119,9 @@
 
 
 async def serve(count: int, work_s: float) -> None:
-    loop, chance, addresses = asyncio.get_running_loop(), Random(1), []
+    loop, rng, addresses = asyncio.get_running_loop(), Random(1), []
     for _ in range(count):
-        server = await loop.create_server(lambda: Backend(work_s, chance), "127.0.0.1", 0)
+        server = await loop.create_server(lambda: Backend(work_s, rng), "127.0.0.1", 0)
         addresses.append(f"127.0.0.1:{server.sockets[0].getsockname()[1]}")
     print(json.dumps(addresses), flush=True)
     await loop.run_in_executor(None, sys.stdin.read)
--- a/basalthoist/experiments/soak/clients.py
+++ b/basalthoist/experiments/soak/clients.py
@@ -16,7 +16,7 @@
 
     def __init__(self, plan: Plan, number: int, world, address: tuple[str, int], began: float) -> None:
         self.plan, self.name, self.world, self.address, self.began = plan, f"c{number}", world, address, began
-        self.chance, self.count = Random(f"{plan.seed} {number}"), 0
+        self.rng, self.count = Random(f"{plan.seed} {number}"), 0
         self.killed = False
 
     async def run(self) -> None:
@@ -41,15 +41,15 @@
                 return
             # Once no new one can be had, clients use those that they have for as long as these stay open.
             told = time.monotonic() >= self.began + self.plan.load_s
-            if self.chance.random() < NEW_CONNECTION and not told:
+            if self.rng.random() < NEW_CONNECTION and not told:
                 return
             fresh = False
-            await asyncio.sleep(self.chance.expovariate(1 / 0.01))
+            await asyncio.sleep(self.rng.expovariate(1 / 0.01))
 
     def make(self, fresh: bool) -> Request:
         self.count += 1
-        route = self.chance.choice(ROUTES)
-        timeout_s = round(self.plan.deadline_s * self.chance.choice((0.5, 1.0, 1.0)), 3)
+        route = self.rng.choice(ROUTES)
+        timeout_s = round(self.plan.deadline_s * self.rng.choice((0.5, 1.0, 1.0)), 3)
         starved_s = self.world.starved_s()
         ident = f"{self.name}-{self.count}"
         request = Request(ident, route, timeout_s, time.monotonic(), fresh, starved_s)
@@ -67,9 +67,9 @@
     async def wait(self, request: Request, reader, writer) -> bool:
         """Whether the connection stays."""
         patience_s = request.timeout_s + 1.0
-        leaves = self.chance.random() < self.plan.leaving
+        leaves = self.rng.random() < self.plan.leaving
         if leaves:
-            patience_s = self.chance.uniform(0.0, 0.3)
+            patience_s = self.rng.uniform(0.0, 0.3)
         try:
             stays = await asyncio.wait_for(self.answer(request, reader), patience_s)
         except TimeoutError:
--- a/basalthoist/experiments/soak/plan.py
+++ b/basalthoist/experiments/soak/plan.py
@@ -62,71 +62,69 @@
 
 
 def drawn(seed: int) -> Plan:
-    chance = Random(seed)
-    deadline_s = chance.choice((0.3, 0.5, 0.9, 0.9, 1.5, 3.0))
-    load_s = round(chance.uniform(1.5, 3.0), 2)
-    backends = chance.randint(3, 6)
+    rng = Random(seed)
+    deadline_s = rng.choice((0.3, 0.5, 0.9, 0.9, 1.5, 3.0))
+    load_s = round(rng.uniform(1.5, 3.0), 2)
+    backends = rng.randint(3, 6)
     # From a source of its own: what else a seed draws stays as it was before there were outages.
     outage = outage_with_changes(Random(f"{seed} outage"), backends)
     if outage:
         load_s = round(load_s + outage[0].at_s + outage[0].for_s + AFTER_OUTAGE_S, 2)
-    events = [backend_trouble(chance, load_s, backends) for _ in range(chance.randint(2, 5))]
-    events += [node_trouble(chance, load_s) for _ in range(chance.randint(0, 3))]
+    events = [backend_trouble(rng, load_s, backends) for _ in range(rng.randint(2, 5))]
+    events += [node_trouble(rng, load_s) for _ in range(rng.randint(0, 3))]
     events += outage
     # A backend that hangs through the whole of a shutdown.
-    if chance.random() < 0.7:
-        events.append(Event("hang", load_s - 0.1, deadline_s + 2.0, chance.randrange(backends)))
-    signals = [
-        (round(chance.uniform(0.0, 0.6), 3), chance.choice(SIGNALS)) for _ in range(chance.randint(0, 4))
-    ]
+    if rng.random() < 0.7:
+        events.append(Event("hang", load_s - 0.1, deadline_s + 2.0, rng.randrange(backends)))
+    signals = [(round(rng.uniform(0.0, 0.6), 3), rng.choice(SIGNALS)) for _ in range(rng.randint(0, 4))]
     return Plan(
         seed=seed,
         deadline_s=deadline_s,
-        window_s=chance.choice((0.4, 0.4, 1.0, 5.0)),
-        grace_s=chance.choice((0.25, 0.5, 2.0)),
+        window_s=rng.choice((0.4, 0.4, 1.0, 5.0)),
+        grace_s=rng.choice((0.25, 0.5, 2.0)),
         backends=backends,
-        clients=chance.choice((6, 12, 24)),
-        crowd=chance.choice((0, 0, 0, 150)),
-        leaving=chance.choice((0.0, 0.1, 0.3)),
+        clients=rng.choice((6, 12, 24)),
+        crowd=rng.choice((0, 0, 0, 150)),
+        leaving=rng.choice((0.0, 0.1, 0.3)),
         load_s=load_s,
         events=tuple(sorted(events, key=lambda event: event.at_s)),
         signals=tuple(sorted(signals)),
     )
 
 
-def outage_with_changes(chance: Random, backends: int) -> list[Event]:
+def outage_with_changes(rng: Random, backends: int) -> list[Event]:
     """In a third of the plays discovery fails, and backends drain or restart meanwhile or soon after."""
-    if chance.random() >= OUTAGE_PART:
+    if rng.random() >= OUTAGE_PART:
         return []
-    at_s, lasts = round(chance.uniform(0.3, 1.0), 2), round(chance.uniform(0.5, 3.0), 2)
-    events = [Event("outage", at_s, lasts, value=chance.randrange(len(OUTAGES)))]
-    for _ in range(chance.randint(1, 2)):
+    at_s, lasts = round(rng.uniform(0.3, 1.0), 2), round(rng.uniform(0.5, 3.0), 2)
+    events = [Event("outage", at_s, lasts, value=rng.randrange(len(OUTAGES)))]
+    for _ in range(rng.randint(1, 2)):
         kind, change_at = (
-            chance.choice(("drain", "restart")),
-            round(at_s + chance.uniform(0.0, lasts + 1.0), 2),
+            rng.choice(("drain", "restart")),
+            round(at_s + rng.uniform(0.0, lasts + 1.0), 2),
         )
         # A drain is seen to its end; a backend's restart takes a moment.
-        for_s = 5.0 if kind == "drain" else round(chance.uniform(0.1, 0.5), 2)
-        events.append(Event(kind, change_at, for_s, chance.randrange(backends)))
+        for_s = 5.0 if kind == "drain" else round(rng.uniform(0.1, 0.5), 2)
+        events.append(Event(kind, change_at, for_s, rng.randrange(backends)))
     return events
 
 
-def backend_trouble(chance: Random, load_s: float, backends: int) -> Event:
-    kind = chance.choice(BACKEND_TROUBLES)
-    lasts = round(chance.uniform(0.2, 1.5), 2)
-    value = chance.randint(5, 400)  # of a reset: how long after the request, in milliseconds
-    return Event(kind, round(chance.uniform(0.1, load_s), 2), lasts, chance.randrange(backends), value)
+def backend_trouble(rng: Random, load_s: float, backends: int) -> Event:
+    kind = rng.choice(BACKEND_TROUBLES)
+    lasts = round(rng.uniform(0.2, 1.5), 2)
+    value = rng.randint(5, 400)  # of a reset: how long after the request, in milliseconds
+    return Event(kind, round(rng.uniform(0.1, load_s), 2), lasts, rng.randrange(backends), value)
 
 
-def node_trouble(chance: Random, load_s: float) -> Event:
-    kind = chance.choice(NODE_TROUBLES)
-    at_s, lasts = round(chance.uniform(0.1, load_s), 2), round(chance.uniform(0.1, 0.6), 2)
+def node_trouble(rng: Random, load_s: float) -> Event:
+    kind = rng.choice(NODE_TROUBLES)
+    at_s, lasts = round(rng.uniform(0.1, load_s), 2), round(rng.uniform(0.1, 0.6), 2)
     if kind in ERRORS:
-        value = chance.choice(ERRORS[kind])
+        value = rng.choice(ERRORS[kind])
     elif kind == "wall_clock":
-        value = chance.choice((-1, 1)) * chance.choice((3_000, 15_000, 3_600_000))
+        value = rng.choice((-1, 1)) * rng.choice((3_000, 15_000, 3_600_000))
     elif kind == "short_io":
-        value = chance.choice((1, 7, 100))
+        value = rng.choice((1, 7, 100))
     else:
-        value = chance.randint(50, 140)
+        value = rng.randint(50, 140)
     return Event(kind, at_s, lasts, value=value)
--- a/basalthoist/fleet/members.py
+++ b/basalthoist/fleet/members.py
@@ -77,14 +77,14 @@
         incarnation: int,
         names: list[str],
         period: int,
-        chance: Lcg,
+        rng: Lcg,
         now: int,
     ) -> None:
         self.host: MembersHost = host
         self.me: str = me
         self.incarnation: int = incarnation
         self.period: int = period
-        self.chance: Lcg = chance
+        self.rng: Lcg = rng
         self.members: dict[str, Member] = {name: Member(name) for name in names if name != me}
         self.refutations: int = 0
         self.own_transmissions: int = 0  # of the last refutation
@@ -95,7 +95,7 @@
         self.probed_at: int = now
         self.probe_step: int = 1
         self.forwarded: dict[int, ForwardedProbe] = {}  # by the number of this node's probe
-        self.next_probe_at: int = now + int(period * chance.uniform())
+        self.next_probe_at: int = now + int(period * rng.uniform())
         self.last_tick_at: int = now
 
     def present(self) -> list[str]:
@@ -182,7 +182,7 @@
         """Probes the next member of the round."""
         # Guards against two halves that never meet again: who is gone is probed now and then.
         while self.round and self.members[self.round[-1]].state is GONE:
-            if self.chance.uniform() >= SKIP_GONE_PROBABILITY:
+            if self.rng.uniform() >= SKIP_GONE_PROBABILITY:
                 break
             self.round.pop()
         if not self.round:
@@ -196,7 +196,7 @@
         """Draws the order of the next round."""
         names = list(self.members)
         while names:
-            self.round.append(names.pop(int(self.chance.uniform() * len(names))))
+            self.round.append(names.pop(int(self.rng.uniform() * len(names))))
 
     def probe(self, name: str) -> None:
         """Probes a member directly."""
@@ -206,7 +206,7 @@
         """Asks others to probe the member that does not answer."""
         others = [name for name in self.present() if name != self.probed]
         for _ in range(min(INDIRECT_PROBES, len(others))):
-            other = others.pop(int(self.chance.uniform() * len(others)))
+            other = others.pop(int(self.rng.uniform() * len(others)))
             self.host.send(other, Ping(self.probe_number, self.probed, self.gossip(other)))
 
     # Messages.
--- a/basalthoist/net/control/relay_process.py
+++ b/basalthoist/net/control/relay_process.py
@@ -72,7 +72,7 @@
         self.on_register_event = on_register_event
         voters = sorted(register.voters)
         self.replica = Replica(
-            self, settings.name, voters, voters, bounds, self.chance, now, self.hint_file.read()
+            self, settings.name, voters, voters, bounds, self.rng, now, self.hint_file.read()
         )
 
     def tick(self) -> None:
--- a/basalthoist/net/control/replica_socket.py
+++ b/basalthoist/net/control/replica_socket.py
@@ -52,8 +52,8 @@
         }
         self.hint_file: HintFile = HintFile(document.fleet, folder, run_on_disk, log)
         incarnation = int.from_bytes(os.urandom(INCARNATION_BYTES), "big")
-        self.chance: Lcg = Lcg(int.from_bytes(os.urandom(INCARNATION_BYTES), "big"))
-        self.handshakes: Handshakes = Handshakes(me, incarnation, self.chance, bounds.heartbeat_interval)
+        self.rng: Lcg = Lcg(int.from_bytes(os.urandom(INCARNATION_BYTES), "big"))
+        self.handshakes: Handshakes = Handshakes(me, incarnation, self.rng, bounds.heartbeat_interval)
         self.transport: asyncio.DatagramTransport | None = None
         self.dropped: Counter[str] = Counter()  # datagrams by reason
         self.unsent: int = 0
--- a/tests/test_available.py
+++ b/tests/test_available.py
@@ -17,17 +17,17 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_after_any_changes_the_groups_are_those_of_a_sort(seed):
-    chance, available = Random(seed), EndpointIndex()
-    stands = [Stand(f"s-{n}", n % 3, chance.choice((0.1, 0.2, 0.3, chance.random()))) for n in range(40)]
+    rng, available = Random(seed), EndpointIndex()
+    stands = [Stand(f"s-{n}", n % 3, rng.choice((0.1, 0.2, 0.3, rng.random()))) for n in range(40)]
     for one in stands:
         available.update(one)
     for _ in range(400):
-        one = chance.choice(stands)
-        if chance.random() < 0.2:
+        one = rng.choice(stands)
+        if rng.random() < 0.2:
             available.discard(one)
             one.available = False
         else:
-            one.available, one.zone = chance.random() < 0.7, chance.randrange(3)
+            one.available, one.zone = rng.random() < 0.7, rng.randrange(3)
             available.update(one)
         usable = sorted((s for s in stands if s.available), key=lambda s: (s.zone, s.position, s.name))
         assert [s for group in available.groups() for s in group] == usable
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -27,7 +27,7 @@
 
 def test_what_comes_within_the_window_is_held_against_n_of_that_moment():
     worst = judged(arrivals(*[0.0] * 12))
-    assert worst == Worst(12.0, 10.0, 0.0) and worst.chance == pytest.approx(8.32, abs=0.01)
+    assert worst == Worst(12.0, 10.0, 0.0) and worst.rng == pytest.approx(8.32, abs=0.01)
     assert worst.excess == 2.0 and worst.part == pytest.approx(12 / 18.32, abs=0.001)
     assert judged(arrivals(*[2.0] * 12)).allowed == 25.0
     assert judged(arrivals(0.0, 0.5, 0.99)).sent == 3.0
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -328,23 +328,23 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_a_round_over_active_customers_finds_the_part_that_one_over_all_finds(seed):
-    chance = random.Random(seed)
-    count, nodes = [0, 1, 2, 3, 4, 5, 7, 8, 12, 40][seed], chance.choice([30, 100])
-    quotas = [chance.choice([0.0, 0.4, 3.0, 17.3]) for _ in range(count)]
+    rng = random.Random(seed)
+    count, nodes = [0, 1, 2, 3, 4, 5, 7, 8, 12, 40][seed], rng.choice([30, 100])
+    quotas = [rng.choice([0.0, 0.4, 3.0, 17.3]) for _ in range(count)]
     made, _ = node([listed("a")], nodes=nodes, **customers(quotas))
     every, moved = EveryCustomer(quotas, nodes), 0
-    busy = [chance.choice([0.0, 0.002, 1.0, 6.0, 6.0, 6.0]) for _ in quotas]  # some fall idle and come back
+    busy = [rng.choice([0.0, 0.002, 1.0, 6.0, 6.0, 6.0]) for _ in quotas]  # some fall idle and come back
     for second in range(2000):
         at = NOW + second * SECOND
         if second % 500 == 499:
-            chance.shuffle(busy)
+            rng.shuffle(busy)
         if count and second % 400 == 399:
-            number, quota = chance.randrange(count), chance.choice([0.0, 1.0, 50.0])
+            number, quota = rng.randrange(count), rng.choice([0.0, 1.0, 50.0])
             every.quotas[number] = quota
             made.on_quota(at, number, quota)
         for number, rate in enumerate(busy):
-            for _ in range(int(rate + chance.random())):
-                again = chance.random() < 0.2
+            for _ in range(int(rate + rng.random())):
+                again = rng.random() < 0.2
                 every.came[number] += not again
                 made.quotas.tenants[number].within(at, again, made.quotas.part)
         made.tick(at)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -54,16 +54,16 @@
 
 def waits(slots, rho, exchanges=60_000, seed=3):
     """Mean wait in an M/M/c queue of this model, in mean service times."""
-    events, chance, mean = Events(), Random(seed), 1000.0
+    events, rng, mean = Events(), Random(seed), 1000.0
     one, begun = server(events, slots=slots, queue=10**9), []
     one.ran = lambda ident, name: begun.append(events.now - came[ident])
     came = {}
 
     def come(ident):
         came[ident] = events.now
-        one.offer(Job(ident, chance.expovariate(1 / mean), None))
+        one.offer(Job(ident, rng.expovariate(1 / mean), None))
         if ident < exchanges:
-            events.after(chance.expovariate(rho * slots / mean), lambda: come(ident + 1))
+            events.after(rng.expovariate(rho * slots / mean), lambda: come(ident + 1))
 
     come(0)
     events.run(10**12)
@@ -85,14 +85,14 @@
 
 @pytest.mark.parametrize(("slots", "load"), [(1, 0.5), (5, 4.0), (10, 8.0)])
 def test_the_share_turned_away_without_a_queue_is_erlangs_loss(slots, load):
-    events, chance, mean = Events(), Random(5), 100.0
+    events, rng, mean = Events(), Random(5), 100.0
     one = server(events, slots=slots, queue=0)
     waiting, count = Waiting(events, one), 40_000
 
     def come(ident):
-        waiting.offer(ident, chance.expovariate(1 / mean))
+        waiting.offer(ident, rng.expovariate(1 / mean))
         if ident < count:
-            events.after(chance.expovariate(load / mean), lambda: come(ident + 1))
+            events.after(rng.expovariate(load / mean), lambda: come(ident + 1))
 
     come(0)
     events.run(10**12)
@@ -131,8 +131,8 @@
 
 @pytest.mark.parametrize("distribution", ["constant", "exponential", "lognormal"])
 def test_service_times_have_the_mean_and_spread_asked_for(distribution):
-    route, chance = Route(name="r", service_ms=30, distribution=distribution, spread=0.7), Random(2)
-    drawn = [work_of(route, chance) for _ in range(40_000)]
+    route, rng = Route(name="r", service_ms=30, distribution=distribution, spread=0.7), Random(2)
+    drawn = [work_of(route, rng) for _ in range(40_000)]
     mean = sum(drawn) / len(drawn)
     deviation = sqrt(sum((x - mean) ** 2 for x in drawn) / len(drawn)) / mean
     assert mean == pytest.approx(300, rel=0.02)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -177,13 +177,13 @@
 def test_surplus_is_shut_out_by_many_misses_and_by_few_not_at_all(missed, least, most):
     """A node with ten requests a second: at hundreds of nodes that is one that sees much."""
     made, _ = node([listed("a")])
-    chance, seen, at = Lcg(5), [], NOW
+    rng, seen, at = Lcg(5), [], NOW
     for number in range(1200):
         at += SECOND // 10
         made.on_request(at, number, 0, 0, 8000, False)
         made.finish(made.requests[number])
         request = Request(number, made.routes[0], at, at + 8000, at + 3000, False)
-        if chance.uniform() < missed:
+        if rng.uniform() < missed:
             made.give_up(at, request)
         seen.append(max(made.surplus.admitted, 0.0))
     assert least <= sum(seen[200:]) / 1000 <= most
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -32,17 +32,17 @@
 
 
 def moving(made, steps=12, faults=0):
-    """Traffic that moves from node to node; with faults by chance between."""
+    """Traffic that moves from node to node; with faults by rng between."""
     injector = FaultInjector(made, 0)
     kinds = "kill", "freeze", "freeze", "split", "one way", "slow"
     for _ in range(steps):
-        hot = made.chance.sample(made.names, made.chance.randint(1, 3))
+        hot = made.rng.sample(made.names, made.rng.randint(1, 3))
         made.loads = {name: 300.0 if name in hot else 5.0 for name in made.names}
-        if made.chance.random() < faults:
-            name = made.leader() if made.chance.random() < 0.5 else ""
-            lasts = int(made.chance.choice((0.3, 1.0, 3.0)) * made.bounds.lease)
-            injector.inject(made.chance.choice(kinds), name or made.chance.choice(made.names), lasts, (2, 30))
-        made.run(made.at + int(made.chance.uniform(0.5, 2.0) * made.bounds.lease))
+        if made.rng.random() < faults:
+            name = made.leader() if made.rng.random() < 0.5 else ""
+            lasts = int(made.rng.choice((0.3, 1.0, 3.0)) * made.bounds.lease)
+            injector.inject(made.rng.choice(kinds), name or made.rng.choice(made.names), lasts, (2, 30))
+        made.run(made.at + int(made.rng.uniform(0.5, 2.0) * made.bounds.lease))
     for window, most, allowed in made.windows():
         if most > allowed:
             raise Broken(f"{most} in {window} s, {allowed:.1f} allowed")
@@ -101,7 +101,7 @@
     """Nodes stand by for a moment, again and again, while messages are slow."""
     made.delay = (2, made.bounds.grant_duration // 3)
     for number in range(40):
-        hot, other = made.chance.sample(made.names, 2)
+        hot, other = made.rng.sample(made.names, 2)
         made.loads = {hot: 400.0, other: 400.0}
         made.run(made.at + 2 * made.bounds.heartbeat_interval)
         node = made.replica_nodes[hot]
