--- a/basalthoist/decisions/balancer.py
+++ b/basalthoist/decisions/balancer.py
@@ -170,7 +170,7 @@
         attempt = request.attempts[attempt_number]
         if self.slow_start.waited_too_long(attempt.backend, attempt.sent_at, now):
             return False
-        return self.retry.may_repeat(request, attempt_number, attempt.backend, now)
+        return self.retry.causes_no_duplicate(request, attempt_number, attempt.backend, now)
 
     def on_response_started(self, now: int, ident: int, attempt_number: int) -> None:
         """A response is passed on as it comes."""
--- a/basalthoist/emulator/baselines.py
+++ b/basalthoist/emulator/baselines.py
@@ -23,7 +23,7 @@
     def choose(self, names: list[str], now: int) -> str:
         raise NotImplementedError
 
-    def may_repeat(self, request: dict) -> bool:
+    def causes_no_duplicate(self, request: dict) -> bool:
         ran = [one for one in request["ends"] if one not in NEVER_RAN]
         return not ran or request["semantics"] == "idempotent"
 
@@ -75,7 +75,7 @@
             request["over"] = True
             if len(request["ends"]) == len(request["sent"]):
                 del self.open[ident]
-        elif now < request["until"] - 1 and self.may_repeat(request):
+        elif now < request["until"] - 1 and self.causes_no_duplicate(request):
             self.place(now, ident)
         else:
             self.give_up(ident)
--- a/basalthoist/experiments/soak/broken.py
+++ b/basalthoist/experiments/soak/broken.py
@@ -57,7 +57,7 @@
     """What may have run is sent again, whatever its route allows."""
     from basalthoist.decisions.retry import RetryPolicy
 
-    replace(RetryPolicy, "may_repeat", lambda self, request, attempts_before, backend, now: True)
+    replace(RetryPolicy, "causes_no_duplicate", lambda self, request, attempts_before, backend, now: True)
 
 
 def repeats_late() -> None:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -273,7 +273,7 @@
 
 
 class RunsTwice(RandomChoice):
-    def may_repeat(self, request):
+    def causes_no_duplicate(self, request):
         return True
 
 
