--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -163,7 +163,7 @@
 class DiscoveryStandIn(StandIn):
     """Serves the endpoint list `members`; `tell` sends a change on all watches.
 
-    `mute`: accepts connections and never answers; `close_after_answer`: closes the connection after each answer.
+    `mute`: accepts connections and never answers; `close_after_answer`: closes after each answer.
     """
 
     def __init__(self, members, mute=False, close_after_answer=False):
@@ -200,7 +200,7 @@
 
 
 def document(discovery, known=(), revision=0, settings_more=None, **more):
-    """Returns a configuration with the routes `read` (idempotent), `pay` (at most once), `feed` (streamed)."""
+    """Returns a configuration with routes `read` (idempotent), `pay` (at most once), `feed` (streamed)."""
     usual = {"group": "all", "latency_objective": 300000, "overall_timeout": 900000, "value": 1.0}
     kinds = ("read", "idempotent", False), ("pay", "at_most_once", False), ("feed", "idempotent", True)
     routes = [usual | {"name": n, "semantics": s, "streaming": streamed} for n, s, streamed in kinds]
