--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -38,13 +38,13 @@
     """
 
     def __init__(self, program, number):
-        self.program, self.socks, self.going, self.came = program, [], True, 0
+        self.program, self.socks, self.running, self.connections_made = program, [], True, 0
         self.refill(number)
         self.thread = threading.Thread(target=self.keep_connected, args=(number,), daemon=True)
         self.thread.start()
 
     def refill(self, number):
-        kept = []
+        still_open = []
         for sock in self.socks:
             try:
                 gone = sock.recv(4096, 0x40) == b""  # MSG_DONTWAIT
@@ -52,23 +52,23 @@
                 gone = False
             except OSError:
                 gone = True
-            kept.append(sock) if not gone else sock.close()
-        self.socks = kept
-        while len(self.socks) < number and self.going:
+            still_open.append(sock) if not gone else sock.close()
+        self.socks = still_open
+        while len(self.socks) < number and self.running:
             with contextlib.suppress(OSError):
                 sock = self.program.connect()
-                self.came += 1
-                if self.came % 3 == 0:
+                self.connections_made += 1
+                if self.connections_made % 3 == 0:
                     sock.sendall(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
                 self.socks.append(sock)
 
     def keep_connected(self, number):
-        while self.going:
+        while self.running:
             self.refill(number)
             time.sleep(0.02)
 
     def leave(self):
-        self.going = False
+        self.running = False
         self.thread.join()
         for sock in self.socks:
             sock.close()
@@ -89,11 +89,11 @@
     Returns the seconds until the node had learnt of the drain, and the status of each answer.
     """
     agent.become_reachable()
-    answers, ask, learnt_after = [], 0, None
+    answers, count, learnt_after = [], 0, None
     while time.monotonic() - agent.reachable < (MIN_REQUESTING_S if learnt_after is not None else 12):
-        ask += 1
+        count += 1
         with contextlib.suppress(OSError, EOFError):
-            got = program.ask(request(ident=f"{number}-{ask}"))
+            got = program.ask(request(ident=f"{number}-{count}"))
             answers.append(got.status)
             if got.body == b"2" and learnt_after is None:
                 learnt_after = time.monotonic() - agent.reachable
@@ -132,7 +132,7 @@
     idle_clients.leave()
     print(f"sockets {sockets}, discovery {how}: known after {after:.2f} s, most answers",
           {status: answers.count(status) for status in set(answers)},
-          f"{idle_clients.came} clients")  # fmt: skip
+          f"{idle_clients.connections_made} clients")  # fmt: skip
     assert after <= MAX_LEARNING_S, log[-2000:]
     assert mostly_answered(answers)
     assert "Too many open files" not in log and "no connection" not in log
@@ -143,12 +143,12 @@
 
 @pytest.mark.parametrize("sockets", [64, 300])
 def test_return_of_discovery_learnt_by_both_processes_during_handover(start, tmp_path, sockets):
-    kept = tmp_path / "kept"
-    kept.mkdir()
+    state_folder = tmp_path / "kept"
+    state_folder.mkdir()
     agent = UnavailableDiscovery("says nothing")
     one, other = StandIn(reply(200, b"1")), StandIn(reply(200, b"2"))
     agent.change = [member("s-1", one, "draining"), member("s-2", other)]
-    environment = {"TMPDIR": str(kept), "PROXY_ADMIN": own_address()}
+    environment = {"TMPDIR": str(state_folder), "PROXY_ADMIN": own_address()}
     limits = QUICK | {"sockets": sockets, "client_kept_part": 0.9, "client_fresh_s": 0.01}
     program, _, _ = start(one, other, agent=agent, known=[member("s-1", one)], files=sockets, limits=limits,
                           environment=environment)  # fmt: skip
@@ -164,17 +164,19 @@
     with contextlib.closing(after):
         wait_for(lambda: at(after, "status").startswith("SUCCESS"))
         wait_for(lambda: open_descriptors(program) + open_descriptors(after) <= sockets, 5)
-        waited, answers = request_through_drain(program, agent, "a")
+        first_learnt, answers = request_through_drain(program, agent, "a")
         # Either process may accept a connection, so both are covered by 8 answers in a row.
-        both = waited
-        while both < 12 and {program.ask(request(ident=f"{both}-{n}")).body for n in range(8)} != {b"2"}:
-            both = time.monotonic() - agent.reachable
-        together = open_descriptors(program) + open_descriptors(after)
+        both_learnt = first_learnt
+        while both_learnt < 12 and {
+            program.ask(request(ident=f"{both_learnt}-{n}")).body for n in range(8)
+        } != {b"2"}:
+            both_learnt = time.monotonic() - agent.reachable
+        total = open_descriptors(program) + open_descriptors(after)
         idle_clients.leave()
-        print(f"two processes, sockets {sockets}: known after {waited:.2f} and {both:.2f} s",
+        print(f"two processes, sockets {sockets}: known after {first_learnt:.2f} and {both_learnt:.2f} s",
               {status: answers.count(status) for status in set(answers)})  # fmt: skip
-        assert both <= MAX_LEARNING_S, (program.log()[-1000:], after.log()[-1000:])
-        assert mostly_answered(answers, 0.9) and together <= sockets  # each process has half of the limit
+        assert both_learnt <= MAX_LEARNING_S, (program.log()[-1000:], after.log()[-1000:])
+        assert mostly_answered(answers, 0.9) and total <= sockets  # each process has half of the limit
         wait_for_descriptors(program, idle + 4)
         wait_for_descriptors(after, idle + 4)
         program.process.terminate()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -127,7 +127,7 @@
     ("settings_more", "limits"),
     [
         ({}, {"watch_retry_s": 0.8, "watch_retry_most_s": 20.0}),  # after several refusals
-        # With 200 siblings, a node's turn to watch lasts long.
+        # 200 siblings, polling one by one at 1000 s a line, make a long slot cycle.
         ({"discovery": "on_request", "siblings": 200}, {"watch_line_s": 1000.0}),
     ],
 )
@@ -268,12 +268,12 @@
 @contextlib.contextmanager
 def process_stopped(program):
     program.process.send_signal(signal.SIGSTOP)
-    wait_for(lambda: state_of(program) == "T")
+    wait_for(lambda: process_state(program) == "T")
     yield
     program.process.send_signal(signal.SIGCONT)
 
 
-def state_of(program):
+def process_state(program):
     with open(f"/proc/{program.process.pid}/stat") as stat:
         return stat.read().rpartition(")")[2].split()[0]
 
@@ -296,7 +296,7 @@
 SYN_SENT, ESTABLISHED, CLOSE_WAIT = "02", "01", "08"
 
 
-def sockets_here(*states, port=None, peer=None, but=()):
+def count_sockets(*states, port=None, peer=None, but=()):
     """Counts the TCP sockets of this host in one of `states`, with the given local and peer ports.
 
     Sockets whose local port is in `but` are left out.
@@ -308,15 +308,15 @@
 
 
 def connecting_to(backend):
-    return sockets_here(SYN_SENT, peer=address_of(backend.address)[1], but=backend.own)
+    return count_sockets(SYN_SENT, peer=address_of(backend.address)[1], but=backend.own)
 
 
 def has_connection_of(program, port):
     """Returns whether the process still has the connection of the client with this port."""
-    return sockets_here(ESTABLISHED, CLOSE_WAIT, port=program.address[1], peer=port)
+    return count_sockets(ESTABLISHED, CLOSE_WAIT, port=program.address[1], peer=port)
 
 
-def asks(program, *data):
+def client_sending(program, *data):
     """Returns the socket of a client that has sent `data`, and its port."""
     sock = program.connect()
     for part in data:
@@ -329,7 +329,7 @@
 def test_request_waiting_for_connection_is_not_sent_after_client_closes(start, cancel, how):
     late = Late()
     program, _, _ = start(late, settings_more=long_timeout_settings(cancel))
-    sock, port = asks(program, request("pay", timeout=8000, ident="left"))
+    sock, port = client_sending(program, request("pay", timeout=8000, ident="left"))
     wait_for(lambda: connecting_to(late))
     leave(sock, how)
     wait_for(lambda: not has_connection_of(program, port))
@@ -342,7 +342,7 @@
 def test_request_waiting_for_connection_is_not_sent_when_client_closed_while_process_was_stopped(start):
     late = Late()
     program, _, _ = start(late, settings_more=long_timeout_settings())
-    sock, _ = asks(program, request("pay", timeout=8000, ident="left"))
+    sock, _ = client_sending(program, request("pay", timeout=8000, ident="left"))
     wait_for(lambda: connecting_to(late))
     with process_stopped(program):
         late.come_up()
@@ -395,7 +395,7 @@
 def test_attempt_after_wait_for_connection_carries_remaining_time(start, kind):
     late = kind()
     program, _, _ = start(late, settings_more=long_timeout_settings())
-    sock, _ = asks(program, request(timeout=8000, ident="late"))
+    sock, _ = client_sending(program, request(timeout=8000, ident="late"))
     asked_at = time.monotonic()
     with sock, sock.makefile("rb") as source:
         if kind is LateAfterFirst:
@@ -415,7 +415,7 @@
     route = {"name": "read", "semantics": "deduplicated", "group": "all", "dedup_window": 400000,
              "latency_objective": 8000000, "overall_timeout": 9000000, "value": 1.0}  # fmt: skip
     program, _, _ = start(late, settings_more=more | {"routes": [route]})
-    sock, _ = asks(program, request(timeout=8000, ident="twice"))
+    sock, _ = client_sending(program, request(timeout=8000, ident="twice"))
     with sock, sock.makefile("rb") as source:
         assert late.failed.wait(10)
         wait_for(lambda: connecting_to(late))  # for the repeat
@@ -438,7 +438,7 @@
     )  # no timeout may cause the move
     program, _, discovery = start(late, settings_more=warming_up, environment={"PROXY_ADMIN": admin})
     wait_for(lambda: discovery.watches)
-    sock, _ = asks(program, request(route, timeout=8000))
+    sock, _ = client_sending(program, request(route, timeout=8000))
     wait_for(lambda: connecting_to(late))
     if change == "moved":
         discovery.tell(member("s-0", other))
@@ -465,7 +465,7 @@
     program, (backend,), _ = start(reply())
     sock = program.connect() if keepalive else None
     if keepalive:
-        wait_for(lambda: sockets_here(ESTABLISHED, port=program.address[1], peer=sock.getsockname()[1]))
+        wait_for(lambda: count_sockets(ESTABLISHED, port=program.address[1], peer=sock.getsockname()[1]))
         assert program.ask(request(ident="first")).status == "200"  # the connection is accepted by now
     with process_stopped(program):
         sock = sock or program.connect()
@@ -481,7 +481,7 @@
     backend = StandIn(reply())
     program, _, discovery = start(known=[], listed=False, settings_more=long_timeout_settings())
     wait_for(lambda: discovery.watches)
-    sock, _ = asks(program, request("pay", timeout=8000, ident="left"))
+    sock, _ = client_sending(program, request("pay", timeout=8000, ident="left"))
     assert program.ask(b"GET /ready HTTP/1.1\r\n\r\n").status == "200"
     with process_stopped(program):
         discovery.tell(member("s-0", backend))
@@ -505,7 +505,7 @@
         reply()(stand_in, sock, asked)
 
     program, (one, two), _ = start(cut_at, cut_at, settings_more=long_timeout_settings(cancel))
-    sock, _ = asks(program, request(timeout=8000, ident="left"))
+    sock, _ = client_sending(program, request(timeout=8000, ident="left"))
     wait_for(lambda: seen_request_ids(one, two))
     with process_stopped(program):
         gate.append(True)
@@ -524,7 +524,7 @@
 def test_close_behind_pipelined_requests_is_detected_while_reading_is_paused(start, cancel):
     gate = []
     program, (backend,), _ = start(reply_once_open(gate), settings_more=long_timeout_settings(cancel))
-    sock, port = asks(program, request("pay", timeout=8000, ident="first"), PIPELINED_REQUESTS)
+    sock, port = client_sending(program, request("pay", timeout=8000, ident="first"), PIPELINED_REQUESTS)
     wait_for(lambda: backend.seen)
     leave(sock)
     wait_for(lambda: not has_connection_of(program, port), 4)  # well before the deadline of 8 s
@@ -538,7 +538,7 @@
     late = Late()
     program, _, _ = start(late, settings_more=long_timeout_settings(False))
     head = request("pay", timeout=8000, ident="left", extra="Content-Length: 1000000\r\n")
-    sock, port = asks(program, head, b"x" * 200_000)
+    sock, port = client_sending(program, head, b"x" * 200_000)
     wait_for(lambda: connecting_to(late))
     leave(sock)
     wait_for(lambda: not has_connection_of(program, port), 4)  # well before the deadline of 8 s
@@ -568,7 +568,7 @@
 
         def spilled(ident):
             """Returns the client's socket once the gateway has the request; before, requests are refused."""
-            sock, _ = asks(a.program, request("pay", timeout=8000, ident=ident))
+            sock, _ = client_sending(a.program, request("pay", timeout=8000, ident=ident))
             sock.settimeout(0.3)
             with contextlib.suppress(TimeoutError):
                 sock.recv(1)
@@ -581,7 +581,7 @@
 def test_reading_of_pipelined_requests_resumes_when_there_is_room(start):
     """All requests pipelined on one connection are answered; the close is detected during the last."""
     program, (backend,), _ = start(reply())
-    sock, port = asks(program, PIPELINED_REQUESTS)
+    sock, port = client_sending(program, PIPELINED_REQUESTS)
     with sock.makefile("rb") as source:
         assert {read_message(source).status for _ in range(1000)} <= {"200", "503"}
         backend.behave = silent
@@ -594,7 +594,7 @@
 def test_malformed_message_does_not_affect_request_before_it(start):
     gate = []
     program, (backend,), _ = start(reply_once_open(gate))
-    sock, _ = asks(program, request("pay", ident="good"), b"\x00nonsense\r\n\r\n" + b"x" * 300_000)
+    sock, _ = client_sending(program, request("pay", ident="good"), b"\x00nonsense\r\n\r\n" + b"x" * 300_000)
     wait_for(lambda: backend.seen)
     gate.append(True)
     with sock, sock.makefile("rb") as source:
@@ -653,7 +653,7 @@
 def test_simultaneous_and_repeated_signals_drain_once(start, signals):
     gate = []
     program, (backend,), discovery = start(reply_once_open(gate))
-    sock, _ = asks(program, request("pay", ident="held"))
+    sock, _ = client_sending(program, request("pay", ident="held"))
     wait_for(lambda: backend.seen)
     for number in signals:
         program.process.send_signal(number)
@@ -675,10 +675,11 @@
 
 
 def test_hanging_disk_does_not_delay_exit(start, tmp_path):
-    kept, admin = tmp_path / "kept", own_address()
-    kept.mkdir()
-    program, _, _ = start(reply(), environment={"TMPDIR": str(kept), "PROXY_ADMIN": admin})
-    os.mkfifo(kept / f"maintenance.{program.process.pid}")  # opening it for writing blocks without a reader
+    state_folder, admin = tmp_path / "kept", own_address()
+    state_folder.mkdir()
+    program, _, _ = start(reply(), environment={"TMPDIR": str(state_folder), "PROXY_ADMIN": admin})
+    # Opening a pipe for writing blocks without a reader.
+    os.mkfifo(state_folder / f"maintenance.{program.process.pid}")
     threading.Thread(target=lambda: call(admin, "maint-on s-0"), daemon=True).start()
     wait_for(lambda: "maintenance of s-0 begins" in program.log())
     program.process.send_signal(signal.SIGTERM)
@@ -689,11 +690,11 @@
 def test_request_with_long_deadline_is_answered_before_sigkill(start, route, statuses):
     """SIGKILL follows SIGTERM after 0.7 s plus the longest deadline, here 0.9 s."""
     program, (backend,), _ = start(silent)
-    sock, _ = asks(program, request(route, timeout=20_000, ident="held"))
+    sock, _ = client_sending(program, request(route, timeout=20_000, ident="held"))
     wait_for(lambda: backend.seen)
     program.process.send_signal(signal.SIGTERM)
     began = time.monotonic()
-    late, _ = asks(program, request("pay", timeout=20_000, ident="late"))
+    late, _ = client_sending(program, request("pay", timeout=20_000, ident="late"))
     for one, allowed in ((sock, statuses), (late, {"502", "503", "504"})):
         with one, one.makefile("rb") as source:
             assert read_message(source).status in allowed
@@ -704,7 +705,7 @@
 def test_unsent_request_with_long_deadline_gets_503_at_shutdown(start):
     late = Late()
     program, _, _ = start(late, settings_more=settings_with_limits(connect_timeout=9_000_000))
-    sock, _ = asks(program, request("pay", timeout=20_000, ident="held"))
+    sock, _ = client_sending(program, request("pay", timeout=20_000, ident="held"))
     wait_for(lambda: connecting_to(late))
     program.process.send_signal(signal.SIGTERM)
     with sock, sock.makefile("rb") as source:
@@ -720,7 +721,7 @@
     begun = raw(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nbegun")
     program, (backend,), discovery = start(begun, limits={"stream_silent_s": 0.5})
     wait_for(lambda: discovery.watches)
-    sock, _ = asks(program, request("feed"))
+    sock, _ = client_sending(program, request("feed"))
     with sock, sock.makefile("rb") as source:
         assert b"200 OK" in read_head(source)
         discovery.tell(member("s-0", backend, "gone"))
@@ -763,13 +764,13 @@
     parts = [b"", b"GET /re", half, request("pay", timeout=8000, ident="%d", path="/t")]
     for turn in range(40):
         for number, part in enumerate(parts):
-            sock, _ = asks(program, part.replace(b"%d", b"t%d-%d" % (turn, number)))
+            sock, _ = client_sending(program, part.replace(b"%d", b"t%d-%d" % (turn, number)))
             leave(sock, "rst" if turn % 2 else "fin")
     discovery.tell(*(member(f"s-{n}", b, "gone") for n, b in enumerate((late, one, two))))
-    wait_for(lambda: not sockets_here(ESTABLISHED, CLOSE_WAIT, port=program.address[1]))
+    wait_for(lambda: not count_sockets(ESTABLISHED, CLOSE_WAIT, port=program.address[1]))
     ports = [address_of(backend.address)[1] for backend in (late, one, two)]
     states = ESTABLISHED, CLOSE_WAIT, SYN_SENT
-    wait_for(lambda: not any(sockets_here(*states, peer=port, but=late.own) for port in ports))
+    wait_for(lambda: not any(count_sockets(*states, peer=port, but=late.own) for port in ports))
     assert descriptors() < 20
     discovery.tell(member("s-1", one))
     wait_for(lambda: program.ask(request(ident=f"end-{time.monotonic()}")).status == "200")
@@ -784,7 +785,7 @@
     program, (backend,), _ = start(reply())
     assert [program.ask(request(timeout=t, ident=f"{t}")).status for t in (0, 1, 2)] == ["503"] * 3
     with process_stopped(program):
-        sock, _ = asks(program, request("pay", timeout=200, ident="past"))
+        sock, _ = client_sending(program, request("pay", timeout=200, ident="past"))
         time.sleep(0.3)
     with sock, sock.makefile("rb") as source:
         assert read_message(source).status == "503"
@@ -805,15 +806,15 @@
     program, _, _ = start(late, agent=DiscoveryStandIn(known), known=known, settings_more=more)
     socks = []
 
-    def ask(numbers):
+    def send(numbers):
         for number in numbers:
-            socks.append(asks(program, request(timeout=8000, ident=f"r{number}"))[0])
+            socks.append(client_sending(program, request(timeout=8000, ident=f"r{number}"))[0])
             time.sleep(0.01)
 
-    ask(range(300))
+    send(range(300))
     late.come_up()
     time.sleep(4)  # TCP repeats its SYN 1, 3 and 7 s after the first
-    ask(range(300, 500))
+    send(range(300, 500))
     for sock in socks:
         sock.close()
     at = sorted(late.came_at)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -28,7 +28,7 @@
 from test_endings import (
     PIPELINED_REQUESTS,
     Late,
-    asks,
+    client_sending,
     connecting_to,
     leave,
     long_timeout_settings,
@@ -67,19 +67,19 @@
         host, port = self.made["listen"].rsplit(":", 1)
         return socket.create_connection((host, int(port)), timeout=10)
 
-    async def asks(self, *data):
+    async def client_sending(self, *data):
         """Returns the socket of a client that has sent `data`, in a thread as the node may pause reading."""
         sock = self.connect()
         await self.loop.run_in_executor(None, sock.sendall, b"".join(data))
         return sock
 
     async def answer(self, *data):
-        def ask():
+        def send():
             with self.connect() as sock, sock.makefile("rb") as source:
                 sock.sendall(b"".join(data))
                 return read_message(source)
 
-        return await self.loop.run_in_executor(None, ask)
+        return await self.loop.run_in_executor(None, send)
 
     async def up(self):
         await self.until(lambda: self.node.front_end.listener)
@@ -191,7 +191,7 @@
         else:
             head = request("pay", timeout=8000, ident="left", extra="Content-Length: 9000000\r\n")
             data = [head, b"x" * 200_000]
-        sock = await node.asks(*data)
+        sock = await node.client_sending(*data)
         [client] = await node.until(
             lambda: [c for c in node.node.front_end.clients if c.reading_paused and c.request]
         )
@@ -236,7 +236,7 @@
             node.dispatcher.on_endpoint_list([], True)
             while not await spilled():
                 await asyncio.sleep(0.01)
-            sock = await node.asks(request(timeout=8000, ident="left"), PIPELINED_REQUESTS)
+            sock = await node.client_sending(request(timeout=8000, ident="left"), PIPELINED_REQUESTS)
             await node.until(lambda: ends)
             await node.until(
                 lambda: [c for c in node.node.front_end.clients if c.reading_paused and c.request]
@@ -279,7 +279,7 @@
         for turn in range(8):
             wait_for(spilled)
             ident = f"left-{turn}"
-            sock, _ = asks(a.program, request(timeout=8000, ident=ident), PIPELINED_REQUESTS)
+            sock, _ = client_sending(a.program, request(timeout=8000, ident=ident), PIPELINED_REQUESTS)
             wait_for(lambda ident=ident: ident in gates)
             leave(sock)
             time.sleep(0.1)
@@ -348,7 +348,7 @@
 def test_jsonrpc_call_is_not_retried_after_client_closes(start_jsonrpc, how, cancel):
     gate = threading.Event()
     program, _ = start_jsonrpc(*[cut_once(gate)] * 2, cancel=cancel)
-    sock, _ = asks(program, line("load", 1, turn=1))
+    sock, _ = client_sending(program, line("load", 1, turn=1))
     wait_for(lambda: gate.begun)
     leave(sock, how)
     gate.set()
@@ -361,7 +361,7 @@
 @pytest.mark.parametrize("how", ["fin", "rst"])
 def test_jsonrpc_call_is_not_sent_when_client_closed_while_process_was_stopped(start_jsonrpc, how):
     program, [box] = start_jsonrpc(echo)
-    sock, _ = asks(program, line("load", 1, turn=0))
+    sock, _ = client_sending(program, line("load", 1, turn=0))
     with sock.makefile("rb") as source:
         assert json.loads(source.readline())["result"] == {"turn": 0}
     with process_stopped(program):
@@ -375,12 +375,12 @@
 def test_jsonrpc_call_waiting_for_connection_is_not_sent_after_client_closes(start_jsonrpc):
     late = Late()
     program, _ = start_jsonrpc(late)
-    sock, _ = asks(program, line("load", 1, turn=1))
+    sock, _ = client_sending(program, line("load", 1, turn=1))
     wait_for(lambda: connecting_to(late))
     leave(sock)
     late.come_up()
     wait_for(late.connected)
-    sock, _ = asks(program, line("load", 1, turn=2))
+    sock, _ = client_sending(program, line("load", 1, turn=2))
     wait_for(lambda: late.came)
     sock.close()
     assert b'"turn":2' in late.came[0].replace(b" ", b"")
@@ -390,7 +390,7 @@
     """The node probes the client with a space, which is not part of an answer."""
     gate = threading.Event()
     program, _ = start_jsonrpc(*[cut_once(gate)] * 2)
-    sock, _ = asks(program, line("load", 7, turn=1))
+    sock, _ = client_sending(program, line("load", 7, turn=1))
     sock.shutdown(socket.SHUT_WR)
     wait_for(lambda: gate.begun)
     gate.set()
@@ -404,7 +404,7 @@
     """Control: the client of a notification awaits no answer, so its orderly close cancels nothing."""
     gate = threading.Event()
     program, _ = start_jsonrpc(*[cut_once(gate)] * 2)
-    sock, _ = asks(program, line("load", None, turn=1))
+    sock, _ = client_sending(program, line("load", None, turn=1))
     wait_for(lambda: gate.begun)
     leave(sock)
     gate.set()
