--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -204,10 +204,10 @@
 
 
 class Late(StandIn):
-    """A backend whose host accepts no connection before `come_up`; `came` holds the data read on each."""
+    """A backend whose host accepts no connection before `come_up`; `received` holds the data read on each."""
 
     def __init__(self):
-        self.came, self.open, self.peers = [], [], set()
+        self.received, self.open, self.peers = [], [], set()
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=0)
         self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
         self.fillers = [socket.socket() for _ in range(3)]
@@ -226,31 +226,31 @@
             self.peers.add(sock.getpeername()[1])
             first = sock.recv(1 << 20)
             if first:
-                self.came.append(first)
+                self.received.append(first)
                 reply(200, b"late")(self, sock, None)
 
     def connected(self):
         """Returns the ports of the node's established connections."""
         return self.peers - self.own
 
-    def got(self):
+    def received_ids(self):
         """Returns the ids of the requests that have arrived."""
-        asked = [first.lower().partition(b"request-id: ")[2].split() for first in self.came]
+        asked = [first.lower().partition(b"request-id: ")[2].split() for first in self.received]
         return [words[0].decode() for words in asked if words]  # probes have no id
 
 
 class TimedLate(Late):
-    """As `Late`; `came_at` records when each request arrived, also further requests on one connection."""
+    """As `Late`; `arrived_at` records when each request arrived, also further requests on one connection."""
 
     def __init__(self):
         super().__init__()
-        self.came_at = []
+        self.arrived_at = []
 
     def serve(self, sock):
         with contextlib.suppress(OSError, EOFError, IndexError), sock.makefile("rb") as source:
             while True:
                 read_message(source)
-                self.came_at.append(time.monotonic())
+                self.arrived_at.append(time.monotonic())
                 reply(200, b"late")(self, sock, None)
 
 
@@ -336,7 +336,7 @@
     late.come_up()
     wait_for(late.connected)
     assert program.ask(request(timeout=8000, ident="next")).body == b"late"
-    assert late.got() == ["next"]
+    assert late.received_ids() == ["next"]
 
 
 def test_request_waiting_for_connection_is_not_sent_when_client_closed_while_process_was_stopped(start):
@@ -349,7 +349,7 @@
         wait_for(late.connected)
         leave(sock)
     assert program.ask(request(timeout=8000, ident="next")).body == b"late"
-    assert late.got() == ["next"]
+    assert late.received_ids() == ["next"]
 
 
 @pytest.mark.parametrize("cancel", [True, False])
@@ -362,7 +362,7 @@
     late.come_up()
     wait_for(late.connected)
     assert program.ask(request(timeout=8000, ident="next")).body == b"late"
-    assert late.got() == ["next"]
+    assert late.received_ids() == ["next"]
 
 
 class LateAfterFirst(Late):
@@ -405,7 +405,7 @@
         most = 8000 - (time.monotonic() - asked_at) * 1000  # the request cannot be written earlier
         late.come_up()
         assert read_message(source).body == b"late"
-    [told] = [first.lower() for first in late.came if b"request-id: late" in first.lower()]
+    [told] = [first.lower() for first in late.received if b"request-id: late" in first.lower()]
     assert int(told.partition(b"request-timeout-ms: ")[2].split()[0]) <= most
 
 
@@ -423,7 +423,7 @@
         late.come_up()
         assert read_message(source).status != "200"
     assert program.ask(request(timeout=8000, ident="next")).body == b"late"
-    assert late.got() == ["next"]
+    assert late.received_ids() == ["next"]
 
 
 @pytest.mark.parametrize("change", ["draining", "gone", "moved", "anew", "banned"])
@@ -457,7 +457,7 @@
     wait_for(late.connected)
     assert program.ask(b"GET /ready HTTP/1.1\r\n\r\n").status == "200"  # it has read the change by now
     time.sleep(0.1)
-    assert not late.came
+    assert not late.received
 
 
 @pytest.mark.parametrize("keepalive", [False, True])
@@ -545,7 +545,7 @@
     late.come_up()
     wait_for(late.connected)
     assert program.ask(request(timeout=8000, ident="next")).body == b"late"
-    assert late.got() == ["next"]
+    assert late.received_ids() == ["next"]
 
 
 def test_spilled_request_is_closed_when_client_closes(tmp_path):
@@ -695,8 +695,8 @@
     program.process.send_signal(signal.SIGTERM)
     began = time.monotonic()
     late, _ = client_sending(program, request("pay", timeout=20_000, ident="late"))
-    for one, allowed in ((sock, statuses), (late, {"502", "503", "504"})):
-        with one, one.makefile("rb") as source:
+    for client, allowed in ((sock, statuses), (late, {"502", "503", "504"})):
+        with client, client.makefile("rb") as source:
             assert read_message(source).status in allowed
     assert time.monotonic() - began < 1.6
     assert program.process.wait(5) == 0
@@ -817,6 +817,6 @@
     send(range(300, 500))
     for sock in socks:
         sock.close()
-    at = sorted(late.came_at)
+    at = sorted(late.arrived_at)
     most = max(sum(0 <= other - first < 0.03 for other in at) for first in at)
-    assert len(at) > 3 and most <= 2, [round(one - at[0], 2) for one in at]
+    assert len(at) > 3 and most <= 2, [round(moment - at[0], 2) for moment in at]
--- a/tests/test_extremes.py
+++ b/tests/test_extremes.py
@@ -58,8 +58,8 @@
     wait_for(lambda: bodies(program) == {names[last]}, 4)
     assert time.monotonic() - began < 4
     assert program.process.poll() is None
-    for one in [*agents, *backends]:
-        one.close()
+    for server in [*agents, *backends]:
+        server.close()
 
 
 @pytest.mark.parametrize("mute", [False, True], ids=["discovery answers", "discovery is silent"])
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -117,8 +117,8 @@
     try:
         uvloop.run(run())
     finally:
-        for one in [*backends, discovery]:
-            one.close()
+        for server in [*backends, discovery]:
+            server.close()
 
 
 def cut_or_reply(stand_in, sock, asked):
@@ -203,7 +203,7 @@
         late.come_up()
         await node.until(late.connected)
         assert (await node.answer(request(timeout=8000, ident="next"))).body == b"late"
-        assert late.got() == ["next"]
+        assert late.received_ids() == ["next"]
 
     run_in_process(act, Late(), settings_more=long_timeout_settings(cancel))
 
@@ -243,8 +243,8 @@
             )
             leave(sock)
             await node.attempt_delay_over()
-            calls = [one for proxied in node.dispatcher.in_progress.values() for one in proxied.calls]
-            assert all(one is None or one.finished for one in calls)
+            calls = [attempt for proxied in node.dispatcher.in_progress.values() for attempt in proxied.calls]
+            assert all(attempt is None or attempt.finished for attempt in calls)
             await node.until(lambda: ends.get("seen") == b"")
 
         run_in_process(act, reply(), gateway=told, settings_more=long_timeout_settings(cancel))
@@ -268,8 +268,8 @@
     with closing(Site(tmp_path, "a", [reply()])) as a, closing(Site(tmp_path, "b", [breaks_off] * 2)) as b:
         a.start(b, settings=long_timeout_settings())
         b.start(a, settings=long_timeout_settings())
-        for one in (a, b):
-            wait_for(lambda one=one: one.discovery.watches and not one.says()["hot"])
+        for site in (a, b):
+            wait_for(lambda site=site: site.discovery.watches and not site.says()["hot"])
         a.lose()
         wait_for_spill_offer(a)
 
@@ -310,8 +310,8 @@
         return program, found
 
     yield start
-    for one in running:
-        one.close()
+    for started in running:
+        started.close()
 
 
 def line(*what, **more):
@@ -381,9 +381,9 @@
     late.come_up()
     wait_for(late.connected)
     sock, _ = client_sending(program, line("load", 1, turn=2))
-    wait_for(lambda: late.came)
+    wait_for(lambda: late.received)
     sock.close()
-    assert b'"turn":2' in late.came[0].replace(b" ", b"")
+    assert b'"turn":2' in late.received[0].replace(b" ", b"")
 
 
 def test_jsonrpc_client_after_half_close_gets_answer_of_retry(start_jsonrpc):
