--- a/basalthoist/decisions/admission.py
+++ b/basalthoist/decisions/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: tenants' quotas, how much surplus is admitted, and the log of what is shed."""
+"""Admission control: tenants' quotas, the fraction of surplus requests that is admitted, and the shed log."""
 
 from typing import Protocol
 
@@ -18,110 +18,117 @@
 
 
 class RateLimit(Protocol):
-    """A limit that all nodes of a fleet keep together."""
+    """A rate limit that all nodes of a fleet enforce together."""
 
     def take(self, now: int) -> bool:
-        """Takes one request; whether it is within the limit."""
+        """Counts one request against the limit. Returns whether the request is within the limit."""
         ...
 
 
 class TenantQuota:
-    """One tenant's quota at this node: a bucket that fills at this node's part of it."""
+    """One tenant's quota at this node: a token bucket that fills at this node's fraction of the quota."""
 
     __slots__ = (
         "quota",
-        "usual",
-        "came",
+        "arrival_rate",
+        "arrivals",
         "tokens",
         "filled_at",
         "active",
-        "rounds",
-        "idle_rounds",
+        "ended_seconds",
+        "idle_seconds",
         "rate_limit",
     )
 
-    def __init__(self, quota: float, part: float, active: dict, rounds: int) -> None:
-        self.quota: float = quota  # requests a second over the fleet
-        self.usual: float = quota * part  # requests a second that come here
-        self.came: int = 0
+    def __init__(self, quota: float, fraction: float, active: dict, ended_seconds: int) -> None:
+        self.quota: float = quota  # requests per second over the whole fleet
+        self.arrival_rate: float = quota * fraction  # requests per second at this node, smoothed
+        self.arrivals: int = 0
         self.tokens: float = 0.0
-        self.filled_at: int = DISTANT_PAST
-        self.active: dict[TenantQuota, None] = active  # those that have come lately, this one among them
-        self.rounds: int = rounds
-        self.idle_rounds: int = 0
-        self.rate_limit: RateLimit | None = None  # the fleet's on this tenant
-
-    def within(self, now: int, is_retry: bool, part: float) -> bool:
-        """Takes one request; whether it is within the quota. `part`: this node's of every quota."""
-        filled = self.tokens + (now - self.filled_at) * self.quota * part / SECOND
-        self.tokens = min(filled, max(BURST_SECONDS * self.quota * part, LEAST_BURST))
+        self.filled_at: int = INITIAL_FILLED_AT
+        self.active: dict[TenantQuota, None] = active  # shared: the tenants with recent requests
+        self.ended_seconds: int = ended_seconds
+        self.idle_seconds: int = 0
+        self.rate_limit: RateLimit | None = None  # the fleet's rate limit on this tenant
+
+    def take(self, now: int, is_retry: bool, fraction: float) -> bool:
+        """Counts one request against the quota. Returns whether the request is within the quota.
+
+        `fraction`: this node's fraction of every quota.
+        """
+        filled = self.tokens + (now - self.filled_at) * self.quota * fraction / SECOND
+        self.tokens = min(filled, max(MAX_BURST_SECONDS * self.quota * fraction, MIN_BURST_REQUESTS))
         self.filled_at = now
-        fits = self.tokens >= 1.0
-        self.came += not is_retry
+        is_within = self.tokens >= 1.0
+        self.arrivals += not is_retry
         self.active[self] = None
-        # Guards against surplus that was shed, comes back as a retry and passes for in quota.
-        self.tokens -= fits and not is_retry
-        return fits
-
-    def close_round(self, rounds: int) -> float:
-        """Once a second; the part of its quota that usually comes here. Rounds without it are made up for."""
-        for came in [0] * min(rounds - self.rounds - 1, IDLE_ROUNDS) + [self.came]:
-            self.usual += (came - self.usual) * USUAL_SMOOTHING
-        self.idle_rounds = 0 if self.came else self.idle_rounds + 1
-        self.rounds = rounds
-        self.came = 0
-        if self.idle_rounds > IDLE_ROUNDS:
+        # A retry takes no token, so that the retry of a request shed as surplus is not counted as in quota.
+        self.tokens -= is_within and not is_retry
+        return is_within
+
+    def end_second(self, ended_seconds: int) -> float:
+        """Updates the arrival rate once a second. Returns the fraction of the quota that arrives here.
+
+        `ended_seconds`: seconds ended at this node; those missed since the last call count as idle.
+        """
+        for arrivals in [0] * min(ended_seconds - self.ended_seconds - 1, MAX_IDLE_SECONDS) + [self.arrivals]:
+            self.arrival_rate += (arrivals - self.arrival_rate) * ARRIVAL_RATE_SMOOTHING
+        self.idle_seconds = 0 if self.arrivals else self.idle_seconds + 1
+        self.ended_seconds = ended_seconds
+        self.arrivals = 0
+        if self.idle_seconds > MAX_IDLE_SECONDS:
             self.active.pop(self, None)
-        return self.usual / max(self.quota, 1e-6)
+        return self.arrival_rate / max(self.quota, 1e-6)
 
 
 class Quotas:
-    """All tenants' quotas at this node; one that is not known has none and is always within it."""
+    """The quotas of all tenants at this node. An unknown tenant has no quota and is never over it."""
 
     def __init__(self, settings: BalancerSettings) -> None:
-        self.even_part: float = 1 / settings.nodes
-        self.part: float = self.even_part  # this node's, of every quota
+        self.even_fraction: float = 1 / settings.nodes
+        self.node_fraction: float = self.even_fraction  # this node's fraction of every quota
         self.active: dict[TenantQuota, None] = {}
-        self.rounds: int = 0
+        self.ended_seconds: int = 0
         self.tenants: dict[int, TenantQuota] = {
-            number: TenantQuota(quota, self.part, self.active, 0)
+            number: TenantQuota(quota, self.node_fraction, self.active, 0)
             for number, quota in enumerate(settings.quotas)
         }
 
-    def within(self, now: int, tenant_number: int, is_retry: bool) -> bool:
-        """Takes one request; whether it is within its tenant's quota."""
+    def take(self, now: int, tenant_number: int, is_retry: bool) -> bool:
+        """Counts one request against its tenant's quota. Returns whether the request is within the quota."""
         tenant = self.tenants.get(tenant_number)
-        return tenant is None or tenant.within(now, is_retry, self.part)
+        return tenant is None or tenant.take(now, is_retry, self.node_fraction)
 
     def over_rate_limit(self, now: int, tenant_number: int) -> bool:
-        """Takes one request; whether it is over the fleet's rate limit on its tenant."""
+        """Counts one request against the fleet's rate limit on its tenant. Returns whether it is over."""
         tenant = self.tenants.get(tenant_number)
         if tenant is None or tenant.rate_limit is None:
             return False
         return not tenant.rate_limit.take(now)
 
     def set_quota(self, tenant_number: int, quota: float | None) -> None:
-        """Requests a second over the fleet; None: the tenant is gone."""
+        """Sets a tenant's quota in requests per second over the fleet; None removes the tenant."""
         tenant = self.tenants.pop(tenant_number, None)
         if tenant is not None:
             self.active.pop(tenant, None)
         if quota is not None:
-            tenant = tenant or TenantQuota(quota, self.part, self.active, self.rounds)
+            tenant = tenant or TenantQuota(quota, self.node_fraction, self.active, self.ended_seconds)
             self.tenants[tenant_number] = tenant
             tenant.quota = quota
             self.active[tenant] = None
 
-    def close_round(self) -> None:
-        """Once a second: this node's part of every quota, by what usually comes here."""
-        # Guards against shedding at busy nodes what is in quota, and bursts that raise their part.
-        self.rounds += 1
-        parts = sorted((tenant.close_round(self.rounds) for tenant in [*self.active]), reverse=True)
-        # Tenants that have not come are at most at the even part.
-        self.part = max([self.even_part, *parts[(3 * len(self.tenants) - 1) // 4 :][:1]])
+    def end_second(self) -> None:
+        """Updates this node's fraction of every quota once a second, from the tenants' arrival rates."""
+        # Uses the lower quartile over all tenants: a busy node does not shed requests in quota, and a burst
+        # of a few tenants does not raise the node's fraction.
+        self.ended_seconds += 1
+        fractions = sorted((tenant.end_second(self.ended_seconds) for tenant in [*self.active]), reverse=True)
+        # Tenants without recent requests are left out: their fraction is at most the even one.
+        self.node_fraction = max([self.even_fraction, *fractions[(3 * len(self.tenants) - 1) // 4 :][:1]])
 
 
 class SurplusAdmission:
-    """Integral control of the part of surplus requests that is admitted, by misses of what is in quota."""
+    """Integral controller of the fraction of surplus requests that is admitted.
 
     The controlled variable is how many requests in quota miss their latency objective.
     """
@@ -131,12 +138,12 @@
         self.admitted_fraction: float = 1.0
 
     def recover(self) -> None:
-        """With each request that comes."""
-        self.admitted = min(max(self.admitted, 0.0) + RECOVERY, 1.0)
+        """Raises the admitted fraction; called with each incoming request."""
+        self.admitted_fraction = min(max(self.admitted_fraction, 0.0) + RECOVERY_PER_REQUEST, 1.0)
 
     def add_miss(self) -> None:
-        """A request in quota was given up, or answered after its latency objective."""
-        self.admitted -= MISS_PENALTY
+        """Counts a request in quota that was shed, failed, or answered after its latency objective."""
+        self.admitted_fraction -= MISS_PENALTY
 
     def sheds(self) -> bool:
         """Draws a random number. Returns whether to shed one surplus request."""
@@ -144,24 +151,24 @@
 
 
 class ShedLog:
-    """Logs when shedding begins and ends; failed attempts and time-outs may be shed too."""
+    """Logs when shedding begins and ends. Requests shed after failed attempts or timeouts count too."""
 
     def __init__(self, host: BalancerHost) -> None:
         self.host = host
-        self.recent: float = 0  # fading, of about ten seconds
-        self.in_quota: int = 0  # since the start
+        self.recent: float = 0  # shed requests of about the last ten seconds, decaying
+        self.in_quota: int = 0  # requests in quota that were shed since the start
         self.shedding: bool = False
 
     def add(self, surplus: bool) -> None:
-        """One request was shed."""
+        """Counts a shed request."""
         self.recent += 1
         self.in_quota += not surplus
 
-    def close_round(self, demand: float, equal_time: float) -> None:
-        """Once a second."""
+    def end_second(self, demand: float, equal_time: float) -> None:
+        """Logs a change of state once a second. `demand`: requests per second; `equal_time`: 0.1 ms."""
         threshold = (0.2 if self.shedding else 1.0) * max(demand, 3.0)
         if self.shedding != (self.recent > threshold):
             self.shedding = not self.shedding
             mode = f"{'on' if self.shedding else 'off'}: {self.recent:.0f} shed in 10 s of {demand:.1f}/s"
             self.host.log(f"shedding {mode}, equal time {equal_time / 10:.0f} ms")
-        self.recent *= SHED_FADE
+        self.recent *= SHED_COUNT_DECAY
--- a/basalthoist/decisions/gossip.py
+++ b/basalthoist/decisions/gossip.py
@@ -1,4 +1,4 @@
-"""What this node tells its peers of backends, whom it tells, and how often that pays."""
+"""Gossip about backends: which messages this node sends, to which peers and with what probability."""
 
 from collections import Counter, defaultdict
 
@@ -12,18 +12,22 @@
 
 DATAGRAM_BYTES = 256
 BYTES_PER_REQUEST = 16
-SPENDABLE = 0.03  # of a request's price
+MAX_COST_FRACTION = 0.03  # what gossip may cost per request, as a fraction of the request's price
 CPU_US_PER_DATAGRAM = 25
-CPU_DIVISOR, CPU_DIVISOR_BLIND = 20, 2  # of a node's processor time, what gossip may take is one part
-MOST_REPORTS = 4  # with one message
-LISTENING = 0.7  # part of the messages whose senders are told
-SENDER_FADE = 0.8
-LEAST_MESSAGES = 0.1
-QUARTERS = 4  # in-flight figures travel in quarters of a request
+# Gossip may take this part of a node's processor time: one in 20, or one in 2 without load reports.
+CPU_DIVISOR, CPU_DIVISOR_WITHOUT_REPORTS = 20, 2
+MAX_REPORTS_PER_DATAGRAM = 4
+LISTENED_FRACTION = 0.7  # a zone's listeners are its top senders, up to this fraction of the requests
+SENDER_COUNT_DECAY = 0.8
+MIN_SENDER_COUNT = 0.1
+QUARTERS = 4  # requests in flight are sent in quarters of a request
 
 
 class Gossip:
-    """`probability`: the part of the sends that is announced; 0 where this node does not gossip."""
+    """Announces attempts and outcomes to peers.
+
+    `probability`: the fraction of the attempts that is announced; 0 if this node does not gossip.
+    """
 
     def __init__(
         self,
@@ -41,18 +45,21 @@
         self.endpoints = endpoints
         self.loads = loads
         self.probability: float = float(settings.gossips)
-        self.senders: dict[int, Counter] = defaultdict(Counter)  # by zone: messages of each peer, fading
-        self.listeners: dict[int, list[int]] = {}  # by zone: peers that send the most there
-        self.fresh_reports: dict[Backend, int] = {}  # not told yet, and when they came
-        self.audiences: dict[Backend, list[int]] = {}
+        # By zone: decaying counts of the requests that each peer announces.
+        self.senders: dict[int, Counter] = defaultdict(Counter)
+        self.listeners: dict[int, list[int]] = {}  # by zone: the peers that announce the most requests
+        self.fresh_reports: dict[Backend, int] = {}  # when a report came that peers do not have yet
+        self.peers_by_backend: dict[Backend, list[int]] = {}
 
     def update_probability(self, rate: float) -> None:
-        """For `rate` requests a second: what the prices and the processor time allow."""
+        """Sets `probability` to what prices and processor time allow at `rate` requests per second."""
         if not self.probability:
             return
-        told = max((len(peers) for peers in self.listeners.values()), default=0) or self.subset.users
-        price = max(self.settings.peer_price * told * BYTES_PER_REQUEST / DATAGRAM_BYTES, 1e-6)
-        divisor = CPU_DIVISOR_BLIND if self.settings.blind else CPU_DIVISOR
+        recipients = (
+            max((len(peers) for peers in self.listeners.values()), default=0) or self.subset.nodes_per_backend
+        )
+        price = max(self.settings.peer_price * recipients * BYTES_PER_REQUEST / DATAGRAM_BYTES, 1e-6)
+        divisor = CPU_DIVISOR_WITHOUT_REPORTS if self.settings.without_load_reports else CPU_DIVISOR
         spare = self.settings.cpu_us_per_s / divisor / CPU_US_PER_DATAGRAM
         self.probability = min(MAX_COST_FRACTION / price, spare / max(recipients * rate, 1.0), 1.0)
         self.peers_by_backend.clear()
@@ -72,47 +79,52 @@
         return True
 
     def reports(self, now: int, backend: Backend) -> list[GossipMessage]:
-        """On other backends, those that have just been heard of."""
+        """Returns messages with the load of other backends that have reported recently."""
         recent = 2 * self.loads.service_time
         fresh = [b for b, at in self.fresh_reports.items() if now - at < recent and b is not backend]
         return [
             GossipMessage(GossipKind.IN_FLIGHT, b.key, round(QUARTERS * self.loads.ahead(b, now)))
-            for b in fresh[-MOST_REPORTS:]
+            for b in fresh[-MAX_REPORTS_PER_DATAGRAM:]
         ]
 
     def peers_for(self, kind: GossipKind, backend: Backend) -> list[int]:
-        """Whom a message about this backend is sent to."""
-        if self.settings.blind and kind != GossipKind.EJECTED:
-            return self.listeners.get(backend.zone) or self.audience(backend)
-        return self.audience(backend)
+        """Returns the peers to which a message about this backend is sent."""
+        if self.settings.without_load_reports and kind != GossipKind.EJECTED:
+            return self.listeners.get(backend.zone) or self.peers_using(backend)
+        return self.peers_using(backend)
+
+    def peers_using(self, backend: Backend) -> list[int]:
+        """Returns the peers whose subsets contain the backend, computed from the ring that all nodes share.
 
-    def audience(self, backend: Backend) -> list[int]:
-        """The peers whose subsets hold it: subsets lie on one ring at all nodes."""
+        Without load reports there is no ring, and these are all peers.
+        """
         own, nodes = self.settings.own_number, self.settings.nodes
-        if self.settings.blind:
+        if self.settings.without_load_reports:
             return [peer for peer in range(nodes) if peer != own]
-        if backend not in self.audiences:
+        if backend not in self.peers_by_backend:
             zone = next((group for group in self.endpoints.groups() if backend in group), [])
             used, size = sum(b.zone == backend.zone for b in self.subset.backends), len(zone)
-            holds = [
+            in_subset = [
                 (zone.index(backend) - int(position * size)) % size < used
                 for position in self.subset.ring_positions
                 if zone
             ]
-            self.audiences[backend] = [peer for peer, has_it in enumerate(holds) if has_it and peer != own]
-        return self.audiences[backend]
+            self.peers_by_backend[backend] = [
+                peer for peer, is_user in enumerate(in_subset) if is_user and peer != own
+            ]
+        return self.peers_by_backend[backend]
 
-    def heard_from(self, peer: int, backend: Backend, kind: GossipKind) -> None:
-        """Counts who sends to the backends of a zone."""
+    def count_sender(self, peer: int, backend: Backend, kind: GossipKind) -> None:
+        """Counts a peer's announced attempts at the backends of a zone."""
         self.senders[backend.zone][peer] += kind == GossipKind.SENT
 
-    def choose_listeners(self) -> None:
-        """Once a second: in each zone the peers that send the most, up to LISTENING of all."""
+    def update_listeners(self) -> None:
+        """Chooses each zone's listeners once a second: its top senders, up to LISTENED_FRACTION of all."""
         for zone, senders in self.senders.items():
-            heard, total, self.listeners[zone] = 0.0, sum(senders.values()), []
+            counted, total, self.listeners[zone] = 0.0, sum(senders.values()), []
             for peer in sorted(senders, key=lambda peer: -senders[peer]):
-                heard += senders[peer]
-                if heard < LISTENING * total:
+                counted += senders[peer]
+                if counted < LISTENED_FRACTION * total:
                     self.listeners[zone].append(peer)
-            faded = {peer: SENDER_FADE * n for peer, n in senders.items() if n > LEAST_MESSAGES}
-            self.senders[zone] = Counter(faded)
+            decayed = {peer: SENDER_COUNT_DECAY * n for peer, n in senders.items() if n > MIN_SENDER_COUNT}
+            self.senders[zone] = Counter(decayed)
--- a/basalthoist/decisions/registry.py
+++ b/basalthoist/decisions/registry.py
@@ -1,4 +1,4 @@
-"""The listed backends: what the endpoint list and operators' bans change of them."""
+"""The registry of listed backends, updated by the endpoint list and by operators' bans."""
 
 from .backend import Backend
 from .endpoint_index import BackendsByKey, EndpointIndex
@@ -6,11 +6,11 @@
 from .random_numbers import Lcg
 from .settings import BalancerSettings, RouteBounds
 
-KEY_RANGE = 65536  # of a backend's key
+GOSSIP_KEY_RANGE = 65536
 
 
 class BackendRegistry:
-    """All listed backends by name, and their indexes. `on_ring`: positions are the same at all nodes."""
+    """All listed backends by name, and their indexes. `on_ring`: all nodes use the same ring positions."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         self.banned: set[str] = set()
 
     def update(self, now: int, entry: Endpoint) -> Backend:
-        """Takes over one entry; a backend that has started anew is measured anew."""
+        """Applies one entry of the endpoint list; a restarted backend loses its measurements."""
         backend = self.backends.get(entry.name)
         if backend is not None and backend.ban_lifted_at:
             entry = entry._replace(started=max(entry.started or 0, backend.ban_lifted_at))
@@ -50,26 +50,26 @@
         """Adds a backend that was not listed before."""
         backend = self.backends[entry.name] = Backend(entry, now, self.rng)
         if self.on_ring:
-            backend.position = backend.key / KEY_RANGE
+            backend.position = backend.key / GOSSIP_KEY_RANGE
         self.by_key.add(backend)
         return backend
 
     def remove(self, name: str) -> None:
-        """It is listed no more."""
+        """Removes a backend that is no longer listed."""
         self.discard(self.backends.pop(name))
 
     def discard(self, backend: Backend) -> None:
-        """Nothing new goes there."""
+        """Marks the backend as unavailable and removes it from the indexes."""
         backend.available = False
         self.endpoints.discard(backend)
         self.by_key.discard(backend)
 
     def ban(self, name: str) -> None:
-        """Nothing new goes there once its entry is taken over anew."""
+        """Bans a backend; the ban takes effect with the next `update` of its entry."""
         self.banned.add(name)
 
     def lift_ban(self, now: int, name: str) -> None:
-        """From now on it is a new backend, which warms up."""
+        """Lifts a ban: replaces the backend by a new one, which warms up."""
         self.banned.discard(name)
         backend = self.backends.get(name)
         if backend is None:
@@ -77,4 +77,4 @@
         replacement = self.backends[name] = Backend(backend.endpoint, now, self.rng)
         replacement.position, replacement.ban_lifted_at, replacement.started = backend.position, now, now
         self.discard(backend)
-        self.by_key.add(fresh)
+        self.by_key.add(replacement)
--- a/basalthoist/decisions/retry.py
+++ b/basalthoist/decisions/retry.py
@@ -1,4 +1,4 @@
-"""Which attempts may be made: retries, their idempotency, and when a client may be told to come back."""
+"""Rules on retries: which attempts may be sent, and when a client may safely retry."""
 
 from .backend import Backend
 from .interface import NEVER_RAN, BalancerHost
@@ -6,19 +6,19 @@
 from .settings import BalancerSettings
 from .units import SECOND
 
-HOLD_UP = SECOND * 15 // 100  # the longest that a node may be held up between reading its clock and writing
+MAX_PROCESS_PAUSE = SECOND * 15 // 100  # longest pause of a node between reading its clock and writing
 
 
 class RetryPolicy:
-    """The rules of WIRE on duplicate effects, for one node."""
+    """Prevents duplicate effects of requests, by the semantics of their routes."""
 
     def __init__(self, host: BalancerHost, settings: BalancerSettings) -> None:
         self.host = host
         self.settings = settings
-        self.retry_after: int = settings.max_retry_after // 2  # 0: clients are given no advice
+        self.retry_after: int = settings.max_retry_after // 2  # 0: answers name no time
 
     def may_attempt(self, request: Request, backend: Backend, now: int) -> bool:
-        """Whether an attempt at this backend may be made now, the first or a retry."""
+        """Returns whether an attempt at this backend, the first or a retry, may be sent now."""
         if request.finished or request.streaming or now >= request.deadline or not backend.available:
             return False
         if request.spilled and backend.zone >= self.settings.first_remote_zone:
@@ -37,11 +37,13 @@
         executed = [a for a in request.attempts[:attempts_before] if a.outcome not in NEVER_RAN]
         if not executed or request.route.is_idempotent:
             return True
-        return self.dedup_time_left(request, ran, now) > 0 and self.in_scope(request, ran[0].backend, backend)
+        return self.dedup_time_left(request, executed, now) > 0 and self.in_scope(
+            request, executed[0].backend, backend
+        )
 
     @staticmethod
     def in_scope(request: Request, first: Backend, backend: Backend) -> bool:
-        """Whether `backend` recognises a repeat of what `first` was sent."""
+        """Returns whether `backend` recognises a repeat of a request that was sent to `first`."""
         match request.route.dedup_scope:
             case "all":
                 return True
@@ -52,27 +54,28 @@
         return False
 
     @staticmethod
-    def dedup_time_left(request: Request, ran: list[Attempt], now: int) -> int:
-        """For how long what is written from now on is known as a repeat of `ran`, which may have run.
+    def dedup_time_left(request: Request, executed: list[Attempt], now: int) -> int:
+        """Returns for how long a repeat written from now on is still recognised.
 
-        Guards against a node that is held up before it writes: the repeat would arrive after the window.
+        `executed`: the attempts that may have run. Guards against a node that pauses before it writes: the
+        repeat would arrive after the deduplication window.
         """
         window = request.route.dedup_window if request.route.is_deduplicated else 0
-        return ran[0].sent_at + window - HOLD_UP - now
+        return executed[0].sent_at + window - MAX_PROCESS_PAUSE - now
 
     def safe_retry_after(self, request: Request, now: int) -> int | None:
-        """After how long its client may be told to try again, 0: no advice; None where that could do harm."""
-        ran = request.may_have_run()
-        if request.route.is_idempotent or not ran:
+        """Returns after how long the client may retry, 0 to name no time, or None if a retry is not safe."""
+        executed = request.possibly_executed()
+        if request.route.is_idempotent or not executed:
             return self.retry_after
-        remembered = self.dedup_time_left(request, ran, now) if request.route.dedup_scope == "all" else 0
-        if remembered > 0:
-            # Guards against a client that is told to come back when its request is no longer known.
-            return min(self.retry_after, remembered)
-        if all(self.never_runs(request, number) for number in range(len(request.attempts))):
+        time_left = self.dedup_time_left(request, executed, now) if request.route.dedup_scope == "all" else 0
+        if time_left > 0:
+            # Guards against a client that retries after the deduplication window.
+            return min(self.retry_after, time_left)
+        if all(self.never_executes(request, number) for number in range(len(request.attempts))):
             return self.retry_after
         return None
 
-    def never_runs(self, request: Request, number: int) -> bool:
-        """Whether that attempt never ran, or is withdrawn before any of it is written."""
+    def never_executes(self, request: Request, number: int) -> bool:
+        """Returns whether the attempt never ran, withdrawing it if nothing of it is written yet."""
         return request.attempts[number].outcome in NEVER_RAN or self.host.withdraw(request.id, number)
--- a/basalthoist/fleet/handshakes.py
+++ b/basalthoist/fleet/handshakes.py
@@ -1,4 +1,4 @@
-"""Which incarnation of each peer is the present one."""
+"""Handshakes that find out the current incarnation of each peer."""
 
 from typing import NamedTuple
 
@@ -10,25 +10,25 @@
 
 
 class PendingHandshake(NamedTuple):
-    """A handshake request that has not been answered."""
+    """A handshake request without a reply so far."""
 
     nonce: int
     sent_at: int
 
 
 class Receipt(NamedTuple):
-    """What follows from an envelope that has come."""
+    """What the node does with a received envelope."""
 
-    accepted: bool  # the message is of the peer's present incarnation, to ours
-    unknown: bool  # the sender's incarnation is still to be asked for
-    reply: Message | None  # to be sent at once
+    accepted: bool  # whether to deliver the message: both incarnations in the envelope are current
+    unknown: bool  # whether the sender's incarnation has not completed a handshake
+    reply: Message | None  # a message to send back at once
 
 
 class Handshakes:
-    """Tracks peers' present incarnations. Messages of any other incarnation are not delivered.
+    """Tracks the current incarnation of each peer. Messages of any other incarnation are not delivered.
 
-    Guards against messages that were long under way, or that somebody repeats: an incarnation counts only
-    once it has answered a request that was sent a moment ago.
+    Guards against delayed and replayed messages: an incarnation is accepted only after it has answered the
+    latest request to the peer, with the nonce of that request.
     """
 
     def __init__(self, me: str, incarnation: int, random: Lcg, min_interval: int) -> None:
@@ -40,16 +40,16 @@
         self.pending: dict[str, PendingHandshake] = {}
 
     def request(self, now: int, name: str) -> HandshakeRequest | None:
-        """The request to send to that peer, unless one was sent a moment ago."""
+        """Returns a new request to send to the peer `name`; None within `min_interval` of the last one."""
         pending = self.pending.get(name)
-        if pending is not None and now - pending.sent_at < self.pause:
+        if pending is not None and now - pending.sent_at < self.min_interval:
             return None
         nonce = 1 + int(self.random.uniform() * NONCE_LIMIT)
         self.pending[name] = PendingHandshake(nonce, now)
         return HandshakeRequest(nonce)
 
     def receive(self, envelope: Envelope) -> Receipt:
-        """Whether the message is to be delivered, and what the handshake needs in turn."""
+        """Returns whether to deliver the message, and what the handshake requires of this node."""
         sender, message = envelope.sender, envelope.message
         known = self.incarnations.get(sender) == envelope.incarnation
         if type(message) is HandshakeRequest:
@@ -63,7 +63,7 @@
         return Receipt(known, not known, None)
 
     def confirm(self, envelope: Envelope, nonce: int) -> None:
-        """Takes the incarnation that has answered the pending request."""
+        """Records the sender's incarnation as current if the nonce is that of the pending request."""
         pending = self.pending.get(envelope.sender)
         if pending is not None and pending.nonce == nonce:
             self.incarnations[envelope.sender] = envelope.incarnation
--- a/basalthoist/fleet/replica.py
+++ b/basalthoist/fleet/replica.py
@@ -1,7 +1,8 @@
-"""One node's part in the fleet: it votes, stands for leader, leads or follows. See docs/fleet.md.
+"""A node's replica of the verdicts: follower, candidate or leader; some are voters. See docs/fleet.md.
 
-`on_message` takes each message, `on_tick` one timer, `on_call` operators; effects go through the host. Times
-are whole tenths of a millisecond of this node's own clock; other nodes' times only come back to them.
+Inputs are messages (`on_message`), a timer (`on_tick`) and operators' calls (`on_call`); effects go through
+the host. Times are whole tenths of a millisecond of this node's own clock. Times of another node's clock are
+only returned to that node.
 """
 
 from enum import Enum, auto
@@ -32,12 +33,12 @@
     VoteRequest,
 )
 
-NOT_STORED = -1  # in place of a version in a heartbeat's reply
-ANSWERS_NO_HEARTBEAT = DISTANT_PAST  # in place of a heartbeat's time in a reply
+NOT_STORED = -1  # stands for the version in a reply: nothing of this term is stored
+ANSWERS_NO_HEARTBEAT = DISTANT_PAST  # stands for a heartbeat's time in a reply that answers none
 
 
 class Role(Enum):
-    """What a replica does at present."""
+    """The role of a replica in the current term."""
 
     FOLLOWER = auto()
     CANDIDATE = auto()
@@ -48,7 +49,7 @@
 
 
 class Replica:
-    """Decides by role and term what comes to the election, the leader's work and the replicated sets."""
+    """Passes each event, by role and term, to the election, the leader or the replicated sets."""
 
     def __init__(
         self,
@@ -68,12 +69,13 @@
         self.bounds: Bounds = bounds
         self.random: Lcg = random
         self.voter: Voter | None = Voter(bounds, now) if me in voters else None
-        self.term: int = 0  # the latest leader's, as far as is known
+        self.term: int = 0  # the term of the latest leader that this node knows
         self.leader_name: str = ""  # empty where no leader is known
         self.leader_heard_at: int = now
         self.role: Role = FOLLOWER
         self.election_timeout: int = self.draw_election_timeout()
-        self.view_confirmed_at: int = DISTANT_PAST  # this node's send of the reply that was confirmed last
+        # When this node sent the latest reply that the leader has confirmed.
+        self.view_confirmed_at: int = DISTANT_PAST
         self.holder: QuotaLeaseHolder | None = holder
         self.election: Election = Election(bounds, me, voters, now)
         self.sets: Replication = Replication(host, holder, hint)
@@ -88,29 +90,29 @@
     # The view.
 
     def view_age(self, now: int) -> int:
-        """What this node applies was current at some moment within this time."""
+        """Returns the maximum age of the applied set: the set was current at some time within this period."""
         return now - self.view_confirmed_at
 
     def is_fresh(self, now: int) -> bool:
-        """Whether the view is recent."""
+        """Returns whether the view is recent enough to count as in touch with the leader."""
         return self.view_age(now) <= self.bounds.fresh
 
     def is_stale(self, now: int) -> bool:
-        """Whether the view is too old to act on in a strict fleet."""
+        """Returns whether the view is too old to act on in a strict fleet."""
         return self.view_age(now) > self.bounds.stale
 
     def may_forward_requests(self, now: int) -> bool:
-        """Whether this node may forward requests."""
+        """Returns whether this node may forward requests: in a strict fleet, not with a stale view."""
         return not (self.bounds.strict and self.is_stale(now))
 
     def leads(self, now: int) -> bool:
-        """Whether this node holds the lease."""
+        """Returns whether this node is the leader and its lease runs."""
         return self.role is LEADER and self.election.promises.has_quorum(now)
 
     # Time.
 
     def on_tick(self, now: int) -> None:
-        """Does what is due."""
+        """Performs the work of the current role, requests missing chunks and sends operators' calls again."""
         if self.role is LEADER:
             self.lead(now)
         elif self.role is CANDIDATE:
@@ -124,7 +126,7 @@
             self.forward_call(now, call_id)
 
     def is_election_due(self, now: int) -> bool:
-        """Whether this voter has heard of no leader for too long."""
+        """Returns whether this voter has not heard from a leader within the election timeout."""
         if self.voter is None or not self.voter.may_vote(now):
             return False
         return now - self.leader_heard_at > self.election_timeout
@@ -149,7 +151,7 @@
             self.withdraw(now, 0)
 
     def campaign(self, now: int) -> None:
-        """The candidate's turn."""
+        """Sends vote requests if due and counts the votes, or withdraws when the candidacy has expired."""
         if self.election.expired(now):
             return self.withdraw(now, 0)
         if self.election.due(now):
@@ -167,9 +169,9 @@
                 self.host.send(name, message)
 
     def withdraw(self, now: int, remaining: int) -> None:
-        """Gives the term up for good, so that nobody needs to wait for it.
+        """Ends the candidacy and releases the voters' promises, so that another candidate need not wait.
 
-        `remaining`: for how long a promise to somebody else is known to run.
+        `remaining` is how long a voter's promise to another candidate still runs, as far as known.
         """
         self.send_to_voters(VoteReleased(self.election.term))
         own_voter(self.voter).release(self.election.term)
@@ -181,7 +183,7 @@
         self.election_timeout = remaining + self.draw_election_timeout() // 2
 
     def count_votes(self, now: int) -> None:
-        """Leads once the votes suffice and the latest set is here; otherwise fetches it."""
+        """Becomes the leader if the votes suffice and the latest set is here; otherwise fetches the set."""
         stored = self.sets.stored
         own = VoterState(stored.term, stored.version, stored.digest, own_voter(self.voter).intact)
         best = self.election.best(now, own)
@@ -189,7 +191,7 @@
             return
         source, state = best
         if state.term >= self.election.term:
-            return self.withdraw(now, 0)  # a file knew of a higher one
+            return self.withdraw(now, 0)  # A voter's file had a set of a higher term.
         for verdicts in (stored, self.election.fetched):
             if verdicts is not None and verdicts.digest == state.digest:
                 return self.become_leader(now, verdicts)
@@ -200,7 +202,7 @@
     # The leader.
 
     def become_leader(self, now: int, verdicts: VerdictSet) -> None:
-        """Leads with the set that the votes have shown to be the latest."""
+        """Becomes the leader, with the set that the votes have shown to be the latest."""
         self.role = LEADER
         self.leader_name = self.me
         self.term = self.election.term
@@ -211,9 +213,9 @@
         self.lead(now)
 
     def lead(self, now: int) -> None:
-        """The leader's turn."""
+        """Performs the leader's periodic work, or steps down when the lease has expired."""
         if not self.leader.renew(now):
-            # Guards against one that stood still, or was cut off: somebody else may lead by now.
+            # Guards against two leaders after this one was suspended or partitioned.
             self.host.log(f"author no more: {self.quorum_text(now)}")
             return self.step_down(now)
         self.leader.advance(now)
@@ -223,11 +225,11 @@
         self.answer_calls(now)
 
     def quorum_text(self, now: int) -> str:
-        """How many voters' promises run, for the log."""
+        """Returns the number of voters whose promise runs, for the log and for operators."""
         return f"{len(self.election.promises.running(now))} of {len(self.voters)} voters"
 
     def step_down(self, now: int) -> None:
-        """Gives up candidacy or lease and follows."""
+        """Ends the candidacy or the leadership and becomes a follower."""
         self.role = FOLLOWER
         self.leader_name = ""
         self.leader.stop()
@@ -237,18 +239,18 @@
     # Operators.
 
     def on_call(self, now: int, call_id: int, changes: list[Verdict]) -> None:
-        """Takes an operator's call. The host's `answer_call` gets the outcome.
+        """Processes an operator's call. The host's `answer_call` receives the outcome.
 
-        It comes within `Bounds.call_timeout` and four heartbeats.
+        The outcome comes within `Bounds.call_timeout` plus four heartbeat intervals.
         """
         self.calls.add(now, call_id, changes)
         self.forward_call(now, call_id)
 
     def forward_call(self, now: int, call_id: int) -> None:
-        """Passes a call of this node's operator to the leader, or gives it up."""
+        """Sends a call of this node's operator to the leader if due, or answers it when it is overdue."""
         if self.calls.is_overdue(now, call_id):
             was_forwarded = self.calls.calls[call_id].was_forwarded
-            return self.calls.settle(call_id, self.no_leader_text(now, was_forwarded))
+            return self.calls.complete(call_id, self.no_leader_text(now, was_forwarded))
         if not self.calls.is_due(now, call_id):
             return
         if self.leads(now):
@@ -257,30 +259,30 @@
             self.host.send(self.leader_name, self.calls.message(now, call_id))
 
     def no_leader_text(self, now: int, was_forwarded: bool) -> str:
-        """The answer to a call that no leader has answered in time."""
+        """Returns the answer to a call that no leader has answered in time."""
         reach = f": {self.quorum_text(now)} in reach" if self.voter is not None else ""
         known = "; not known whether the change is kept" if was_forwarded else ""
         return f"FAILURE no author{reach}{known}"
 
     def take_call(self, now: int, name: str, call: OperatorCall) -> None:
-        """A call at the leader. One without changes asks for the status."""
+        """Processes a call at the leader. A call without changes requests the status."""
         in_progress = self.leader.calls
         if not call.changes:
             return in_progress.answer(name, call.call_id, f"SUCCESS {self.status(now)}")
-        # What is in progress may yet be lost with this leader: the answer waits for all that it builds on.
+        # An open proposal may be lost with this leader, so the answer also waits for its commit.
         is_proposing = self.leader.committed != self.sets.stored.version
-        if in_progress.take(now, name, call, self.leader):
+        if in_progress.accept(now, name, call, self.leader):
             if not is_proposing:
                 self.leader.commit(now)
             self.answer_calls(now)
 
     def answer_calls(self, now: int) -> None:
-        """Answers the operators whose call has come to an end, while the lease runs."""
+        """Answers the calls that have succeeded or failed, as long as the lease runs."""
         if self.leader.calls.waiting and self.election.promises.has_quorum(now):
             self.leader.calls.answer_ended(now, self.leader)
 
     def status(self, now: int) -> str:
-        """How things stand, for operators."""
+        """Returns the fleet's status as this node knows it, for operators."""
         applied = self.sets.applied
         head = f"author {self.leader_name or 'none'} ballot {self.term} version {applied.version}"
         head += f" {len(applied.verdicts)} verdicts"
@@ -289,7 +291,7 @@
         return f"{head}: {self.leader.status(now)}"
 
     def view_text(self, now: int) -> str:
-        """How recent the view is, for operators."""
+        """Returns how recent the view is, for operators."""
         if self.view_confirmed_at == DISTANT_PAST:
             return "never confirmed"
         state = "in touch" if self.is_fresh(now) else "stale" if self.is_stale(now) else "out of touch"
@@ -298,7 +300,7 @@
     # Messages.
 
     def on_message(self, now: int, name: str, message: Message) -> None:
-        """Takes a message of a peer's present incarnation."""
+        """Processes a message from a peer's current incarnation."""
         match message:
             case Heartbeat():
                 self.on_heartbeat(now, name, message)
@@ -315,12 +317,12 @@
             case OperatorCall() if self.leads(now):
                 self.take_call(now, name, message)
             case OperatorReply():
-                self.calls.settle(message.call_id, message.text)
+                self.calls.complete(message.call_id, message.text)
 
     def on_election_message(
         self, now: int, name: str, message: VoteRequest | Vote | VoteRefused | VoteReleased
     ) -> None:
-        """Takes a message between voters."""
+        """Processes a message between voters."""
         match message:
             case VoteRequest():
                 self.on_vote_request(now, name, message)
@@ -333,12 +335,12 @@
                     self.voter.release(message.term)
 
     def on_incarnation(self, name: str) -> None:
-        """A peer has a new incarnation: what was known of the one before is void."""
+        """Drops the state of a peer's previous incarnation."""
         self.leader.on_incarnation(name)
         self.election.votes.pop(name, None)
 
     def on_vote_request(self, now: int, name: str, request: VoteRequest) -> None:
-        """A candidate asks for a vote."""
+        """Grants or refuses a candidate's vote request."""
         if self.voter is None or not owns_term(request.term, name, self.voters):
             return
         if self.role is LEADER and not self.election.promises.has_quorum(now):
@@ -351,29 +353,29 @@
             self.host.send(name, VoteRefused(self.voter.minimum_term(now), remaining))
 
     def grant_vote(self, now: int, name: str, request: VoteRequest, voter: Voter) -> None:
-        """Answers a candidate that has this voter's promise."""
+        """Sends the vote to a candidate that has this voter's promise."""
         if self.role is CANDIDATE:
             self.role, self.sets.fetch = FOLLOWER, None
-        self.leader_heard_at = now  # somebody stands for leader
+        self.leader_heard_at = now  # Restarts the election timeout, as the candidate may win.
         stored, intact = self.sets.stored, voter.intact
         vote = Vote(request.term, request.sent_at, stored.term, stored.version, stored.digest, intact)
         self.host.send(name, vote)
 
     def on_vote(self, now: int, name: str, vote: Vote) -> None:
-        """A voter answers this candidate."""
+        """Counts a vote for this candidate."""
         if self.role is CANDIDATE and vote.term == self.election.term and name in self.voters:
             state = VoterState(vote.stored_term, vote.version, vote.digest, vote.intact)
             self.election.on_vote(name, vote.requested_at, state)
             self.count_votes(now)
 
     def on_vote_refused(self, now: int, refusal: VoteRefused) -> None:
-        """Another promise runs there, or one was given to a higher term: there is no use in going on."""
+        """Withdraws if the voter requires a higher term or its promise to another candidate still runs."""
         self.election.notice_term(refusal.term)
         if self.role is CANDIDATE and (refusal.term > self.election.term or refusal.remaining):
             self.withdraw(now, refusal.remaining)
 
     def on_heartbeat(self, now: int, name: str, heartbeat: Heartbeat) -> None:
-        """A leader's heartbeat."""
+        """Processes a leader's heartbeat: proposal, commit, confirmation of the view, and grants."""
         if not self.accept_leader(now, name, heartbeat):
             return
         self.follow(now, name, heartbeat)
@@ -386,13 +388,13 @@
         self.send_reply(now, heartbeat.sent_at)
 
     def accept_leader(self, now: int, name: str, heartbeat: Heartbeat) -> bool:
-        """Whether it is no earlier leader, nor one that this voter may no longer help."""
+        """Returns whether the sender is the leader of the latest known term, and this voter can accept it."""
         if not owns_term(heartbeat.term, name, self.voters) or heartbeat.term < self.term:
             return False
         return self.voter is None or self.voter.accept_leader(now, heartbeat.term)
 
     def follow(self, now: int, name: str, heartbeat: Heartbeat) -> None:
-        """Goes by that leader from now on."""
+        """Follows the leader `name` from now on."""
         if self.role is not FOLLOWER:
             self.step_down(now)
         self.term = heartbeat.term
@@ -402,7 +404,7 @@
             self.host.log(f"follows {name}, ballot {heartbeat.term}, version {heartbeat.version}")
 
     def take_proposal(self, now: int, name: str, heartbeat: Heartbeat) -> None:
-        """Stores or fetches what the leader has proposed, and applies what it has committed."""
+        """Stores or fetches the set that the leader has proposed, and applies it if it is committed."""
         is_later = self.sets.stored.order() < (heartbeat.term, heartbeat.version)
         if self.sets.stored.digest == heartbeat.digest:
             if is_later:
@@ -414,16 +416,16 @@
             self.sets.apply(now, stored)
 
     def check_intact(self, heartbeat: Heartbeat) -> None:
-        """This voter is intact once it has stored what a leader proposes after the voter's silence."""
+        """Marks this voter as intact once it has stored a proposal made after the silence at its start."""
         if self.voter is None or self.voter.intact:
             return
         stored = self.sets.stored
         if stored.term == heartbeat.term and stored.digest == heartbeat.digest:
-            # The leader held its lease when it confirmed a reply sent after the silence.
+            # The leader had its lease when it confirmed a reply that this voter sent after the silence.
             self.voter.intact = heartbeat.echo >= self.voter.silent_until
 
     def send_reply(self, now: int, heartbeat_sent_at: int) -> None:
-        """Answers the leader's heartbeat, or reports that a fetched set is here."""
+        """Answers the leader's heartbeat, or reports that a fetched set is stored."""
         stored = self.sets.stored
         reply = HeartbeatReply(
             self.term,
@@ -440,13 +442,13 @@
         self.host.send(self.leader_name, reply)
 
     def on_heartbeat_reply(self, now: int, name: str, reply: HeartbeatReply) -> None:
-        """A peer's answer to a heartbeat."""
+        """Processes a peer's reply to a heartbeat, and commits if a quorum has stored the proposal."""
         if self.role is LEADER and self.leader.on_heartbeat_reply(now, name, reply):
             self.leader.commit(now)
             self.answer_calls(now)
 
     def on_delta(self, now: int, delta: SetDelta) -> None:
-        """A delta that was asked for, or the leader's latest proposal."""
+        """Processes a delta if it was requested or is the leader's latest proposal."""
         is_proposal = delta.term == self.term and self.leader_name not in ("", self.me)
         if self.sets.is_fetching(delta.digest) or is_proposal:
             verdicts = self.sets.on_delta(delta)
@@ -454,20 +456,20 @@
                 self.on_fetched(now, verdicts)
 
     def on_chunk(self, now: int, chunk: SetChunk) -> None:
-        """A chunk of a snapshot that was asked for."""
+        """Processes a chunk of a requested snapshot."""
         verdicts = self.sets.on_chunk(now, chunk)
         if verdicts is not None:
             self.on_fetched(now, verdicts)
 
     def on_fetched(self, now: int, verdicts: VerdictSet) -> None:
-        """Stores a set that a delta or a snapshot has made, where that is still allowed."""
+        """Stores a set from a delta or a snapshot, if the current role and term still allow that."""
         self.sets.fetch = None
         if self.role is CANDIDATE:
             self.election.fetched = verdicts
             return self.count_votes(now)
-        # Guards against an older one that was long under way, after this voter has said that it holds more.
+        # Guards against a delayed older set, after this voter has acknowledged a later one.
         is_later = self.sets.stored.order() < (self.term, verdicts.version)
-        # Guards against taking more from a leader after a vote for another said what is stored here.
+        # Guards against storing more from a leader after this voter's vote for another reported its set.
         minimum_term = self.voter.minimum_term(now) if self.voter is not None else 0
         if self.role is FOLLOWER and self.leader_name and self.term >= minimum_term and is_later:
             self.sets.store(now, verdicts.in_term(self.term))
--- a/basalthoist/net/clients/front_end.py
+++ b/basalthoist/net/clients/front_end.py
@@ -21,7 +21,7 @@
 from basalthoist.net.runtime.timers import SECOND, Timers, now
 
 METHODS = frozenset((b"GET", b"POST", b"PUT", b"PATCH", b"DELETE"))
-LOAD_PATHS = (b"/health", b"/status/load")  # where other sites ask a gateway for its load
+LOAD_PATHS = (b"/health", b"/status/load")  # where other sites poll a gateway's load
 ABSOLUTE_FORM = (b"http://", b"https://")
 MAX_HOPS_DIGITS = 3
 MAX_TIMEOUT_DIGITS = 9
@@ -29,15 +29,15 @@
 
 
 class DrainReason(StrEnum):
-    """What has this node drain."""
+    """Why this node drains."""
 
-    OPERATOR = "operator"  # an operator's call, or the shutdown
+    OPERATOR = "operator"  # an operator's call, or the graceful shutdown
     FLEET = "fleet"  # the view of the fleet is stale
     CONFIGURATION = "configuration"  # the view of the distributed configuration is stale
 
 
 class FrontEnd:
-    """Admits clients' connections and requests: route and tenant lookup, readiness, draining."""
+    """Admits clients' connections and requests; handles route and tenant lookup, readiness and draining."""
 
     def __init__(
         self,
@@ -64,21 +64,22 @@
         self.tenant_number: Callable[[bytes | None], int | None] = self.configured_tenant_number
         self.may_forward_requests: Callable[[], bool] = lambda: True
         self.connection_limits: ConnectionLimits = ConnectionLimits(self.limits, descriptors, log)
-        # The same objects: one look-up less for each request.
+        # Aliases that save one attribute look-up for each request.
         self.clients: dict[HttpClientConnection, None] = self.connection_limits.clients
         self.idle_clients: dict[HttpClientConnection, None] = self.connection_limits.idle_clients
         self.add_idle: Callable[[HttpClientConnection], None] = self.connection_limits.add_idle
         self.memory_budget: MemoryBudget = self.connection_limits.memory_budget
         self.disconnect_monitor: DisconnectMonitor = DisconnectMonitor(timers)
         self.listener: Listener | None = None
-        # Whether another process may accept connections from the same listening socket.
+        # Returns whether another process may accept connections from the same listening socket.
         self.listener_shared: Callable[[], bool] = lambda: False
         self.longest_timeout: int = int(configuration.longest_timeout_s * SECOND)  # of any route, in 0.1 ms
         self.ready: bool = False
-        # While draining, idle connections are closed, and each response closes its own unless more has come.
+        # While draining, idle connections are closed, and others after their response unless the next request
+        # has begun to arrive.
         self.draining: bool = False
         self.drain_reasons: set[DrainReason] = set()
-        self.close_idle_from: int = 0  # while draining, when idle connections begin to be closed
+        self.close_idle_from: int = 0  # while draining: from when on idle connections are closed
         self.shutting_down: bool = False
         self.shutdown: Shutdown = Shutdown(self)
         self.drained: asyncio.Future = self.shutdown.drained
@@ -89,23 +90,24 @@
     # Requests.
 
     def accept_request(self, client: HttpClientConnection, message: Message) -> None:
-        """Validates a request and starts it, or answers it here.
+        """Validates a request and passes it to the dispatcher, or answers it at once.
 
-        Raises BadMessage with the status to answer where the request is not valid.
+        Raises BadMessage, with the status to answer, if the request is invalid.
         """
         if not client.admitted:
             return client.answer(503)
-        if message.target.startswith(ABSOLUTE_FORM):  # as clients send it to any proxy
+        if message.target.startswith(ABSOLUTE_FORM):
+            # Clients that are configured to use a proxy send the absolute form of the target.
             message.target = b"/" + b"/".join(message.target.split(b"/", 3)[3:])
         path = message.target.partition(b"?")[0]
         if self.answer_own_path(client, path):
             return
         if message.method not in METHODS:
-            raise BadMessage(405, "method")
+            raise BadMessage(405, "expected method GET, POST, PUT, PATCH or DELETE")
         route_number, route = self.route_of(message, path)
-        # Guards against a request of two ids, one of which is another's that is open.
+        # Guards against a request with two ids, of which one belongs to another request in progress.
         if len([v for k, v in message.headers if k == b"request-id" and v]) != 1:
-            raise BadMessage(400, "not one Request-Id")
+            raise BadMessage(400, "expected exactly one Request-Id")
         tenant_number = self.tenant_of(message)
         if not self.may_forward_requests():
             return client.answer(503, [RETRY_AFTER])
@@ -120,7 +122,10 @@
         )
 
     def answer_own_path(self, client: HttpClientConnection, path: bytes) -> bool:
-        """Answers a request for readiness, or of another site for this one's load; whether it was one."""
+        """Answers a readiness check, or another site's request for this site's load.
+
+        Returns whether the request was one of these.
+        """
         if path == b"/ready":
             client.answer(200 if self.serving() else 503)
             return True
@@ -134,65 +139,69 @@
         return False
 
     def route_of(self, message: Message, path: bytes) -> tuple[int, Route]:
-        """The route of a request, by the first segment of its path, and the route's number."""
+        """Returns the number and the settings of the route that the first segment of the path names."""
         name = path.split(b"/")[1] if path.startswith(b"/") else b""
         header = message.get(b"request-class")
-        # Guards against a request of two routes, one of which may be repeated and the other not.
+        # Guards against a request that names two routes, of which one is idempotent and the other is not.
         if header is not None and header != name:
-            raise BadMessage(400, "Request-Class is not the path's")
+            raise BadMessage(400, "Request-Class differs from the first segment of the path")
         if name not in self.routes:
-            raise BadMessage(404, "unknown route")
+            raise BadMessage(404, "first segment of the path names no route")
         return self.routes[name]
 
     def tenant_of(self, message: Message) -> int:
-        """The number of a request's tenant."""
+        """Returns the number of a request's tenant. Raises BadMessage if it is unknown or blocked."""
         name = message.get(b"tenant")
         number = self.tenant_number(name)
         if number is None:
-            raise BadMessage(400, "unknown Tenant")  # or none named, which would pass by every quota
+            # Without a tenant, a request would be subject to no quota.
+            raise BadMessage(400, "Tenant missing or unknown")
         if name in self.blocked_tenants:
             raise BadMessage(403, "tenant blocked")
         return number
 
     def configured_tenant_number(self, name: bytes | None) -> int | None:
-        """The number of a configured tenant, None for any other; 0 for all where none is configured."""
+        """Returns the number of a configured tenant, or None for an unknown name.
+
+        Returns 0 for every name if no tenants are configured.
+        """
         return self.tenants.get(name) if self.tenants else 0
 
     def set_blocked_tenants(self, names: set[str]) -> None:
         """Sets the tenants whose requests are rejected."""
         self.blocked_tenants = {name.encode() for name in names}
 
-    # Draining, for a while or at the end: new connections are still admitted and every request is answered.
+    # Draining, temporarily or before the end: connections are still admitted and every request is answered.
 
     def serving(self) -> bool:
-        """The readiness of the node."""
+        """Returns whether the node is ready for new clients."""
         return self.ready and not self.draining
 
     def start_draining(self, reason: DrainReason = DrainReason.OPERATOR) -> None:
-        """Starts draining, or adds a reason for it."""
+        """Starts draining, or adds a reason to drain."""
         if not self.draining:
             self.close_idle_from = now() + int(self.limits.linger_s * SECOND)
         self.drain_reasons.add(reason)
         self.draining = True
 
     def stop_draining(self, reason: DrainReason = DrainReason.OPERATOR) -> None:
-        """Withdraws one reason for draining; it ends with the last."""
+        """Removes a reason to drain; draining stops when no reason is left."""
         self.drain_reasons.discard(reason)
         self.draining = self.shutting_down or bool(self.drain_reasons)
 
     def begin_shutdown(self) -> None:
-        """Begins the graceful shutdown."""
+        """Starts the graceful shutdown."""
         self.start_draining()
         self.shutting_down = True
         self.shutdown.begin()
 
     @property
     def connections(self) -> dict[HttpClientConnection, None]:
-        """The open connections, for the shutdown."""
+        """Returns the open connections, for the graceful shutdown."""
         return self.clients
 
     def close_idle_connections(self) -> None:
-        """Closes every connection on which nothing is in progress."""
+        """Closes every idle connection, however short it has been idle."""
         self.connection_limits.close_idle(-1)
 
     def enforce_limits(self) -> None:
@@ -205,7 +214,7 @@
     # Connections.
 
     def listen(self, sock: socket.socket) -> Listener:
-        """Accepts connections from the socket."""
+        """Starts accepting connections from the socket."""
         self.listener = Listener(
             self.loop, self.timers, self.log, sock, self.admit, self.connection_dropped, self.is_full
         )
@@ -213,38 +222,38 @@
         return self.listener
 
     def is_full(self) -> bool:
-        """Whether no connection can be accepted within the file-descriptor budget."""
+        """Returns whether the descriptor budget allows no further connection; if so, evicts one."""
         if not self.descriptors.is_exhausted():
             return False
         self.descriptors.reclaim(self.connection_limits.evict_one)
         return True
 
     def admit(self) -> HttpClientConnection:
-        """Makes the protocol of an accepted connection."""
-        for_upstream = int(self.descriptors.limit * self.limits.upstream_part)
-        admitted = self.descriptors.acquire(self.connection_limits.evict_one, for_upstream)
+        """Creates the protocol of an accepted connection. Without a free descriptor, its requests get 503."""
+        reserved_for_upstream = int(self.descriptors.limit * self.limits.upstream_part)
+        admitted = self.descriptors.acquire(self.connection_limits.evict_one, reserved_for_upstream)
         if not admitted:
             self.descriptors.acquire_over_limit()
         return HttpClientConnection(self, admitted)
 
     def connection_dropped(self) -> None:
-        """An accepted connection could not be taken over."""
+        """Releases the descriptor of an accepted connection that could not be set up."""
         self.descriptors.release()
 
 
 def hops_of(message: Message) -> int:
-    """How many sites the request has passed through."""
+    """Returns how many sites the request has passed through. Raises BadMessage."""
     text = message.get(b"site-hops")
     if not text.isdigit() or len(text) > MAX_HOPS_DIGITS:
-        raise BadMessage(400, "bad Site-Hops")
+        raise BadMessage(400, f"expected Site-Hops of up to {MAX_HOPS_DIGITS} digits")
     return int(text)
 
 
 def timeout_of(message: Message, route: Route) -> int:
-    """The request's timeout in ms."""
+    """Returns the request's timeout in milliseconds. Raises BadMessage."""
     text = message.get(b"request-timeout-ms")
     if text is None:
         return route.overall_timeout // 1000 or DEFAULT_TIMEOUT_MS
     if not text.isdigit() or len(text) > MAX_TIMEOUT_DIGITS:
-        raise BadMessage(400, "bad Request-Timeout-Ms")
+        raise BadMessage(400, f"expected Request-Timeout-Ms of up to {MAX_TIMEOUT_DIGITS} digits")
     return int(text)
--- a/basalthoist/net/lifecycle/reload.py
+++ b/basalthoist/net/lifecycle/reload.py
@@ -1,4 +1,4 @@
-"""Reading the node's configuration file again at SIGHUP, while the node serves."""
+"""Reloads the node's configuration file on SIGHUP, while the node serves."""
 
 from collections.abc import Callable
 from functools import partial
@@ -9,7 +9,7 @@
 
 
 class ConfigurationReload:
-    """Reads the file by a thread of its own; `apply` gets what was read."""
+    """Reads the file by the disk worker, off the event loop, and calls `apply` with the new configuration."""
 
     def __init__(
         self,
@@ -26,7 +26,10 @@
         self.read_again: bool = False
 
     def request(self) -> None:
-        """Reads the file; one that is being read may be from before, and is read once more after."""
+        """Starts to read the file. If it is being read already, it is read again afterwards.
+
+        The read in progress may have started before the file was changed.
+        """
         self.read_again = self.reading
         if self.reading:
             return
@@ -40,16 +43,16 @@
             except ConfigurationError as error:
                 raise TaskError(str(error)) from error
 
-        # Guards against a disk that hangs, which no request and no shutdown may wait for.
+        # No request and no shutdown may wait for a disk that hangs.
         self.worker(read_file, partial(self.on_read, read))
 
     def on_read(self, read: list[Configuration], error: TaskError | None) -> None:
-        """The file has been read: into `read`, or it is faulty, as `error` says."""
+        """Applies the configuration in `read`, or logs `error` if `read` is empty."""
         self.reading = False
         if read:
             self.apply_changes(read[0])
         else:
-            # Guards against a faulty file that would take a serving node along.
+            # A faulty file must not end a serving node: the current configuration stays in force.
             self.log(f"configuration not taken: {error}")
         if self.read_again:
             self.request()
--- a/tests/test_available.py
+++ b/tests/test_available.py
@@ -1,4 +1,4 @@
-"""The backends that may be used, kept in order change by change: as if they were sorted anew each time."""
+"""The indexes of the backends, compared with a full sort after each change."""
 
 from random import Random
 
@@ -9,10 +9,10 @@
 from basalthoist.decisions.interface import GossipKind, GossipMessage
 
 
-class Stand:
-    def __init__(self, name, zone, place, key=0):
-        self.name, self.zone, self.position, self.key = name, zone, place, key
-        self.available, self.available_in = True, None
+class IndexedBackend:
+    def __init__(self, name, zone, position, key=0):
+        self.name, self.zone, self.position, self.key = name, zone, position, key
+        self.available, self.indexed_zone = True, None
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -35,11 +35,11 @@
         assert [group[0].zone for group in index.groups()] == sorted({s.zone for s in expected})
 
 
-def test_of_those_that_share_a_key_the_last_added_counts_and_then_the_one_before():
-    first, second, third = (Stand(name, 0, 0.5, key=7) for name in "abc")
+def test_last_added_backend_of_a_shared_key_is_found():
+    first, second, third = (IndexedBackend(name, 0, 0.5, key=7) for name in "abc")
     by_key = BackendsByKey()
-    for one in (first, second, third):
-        by_key.add(one)
+    for backend in (first, second, third):
+        by_key.add(backend)
     assert by_key.get(7) is third and by_key.get(8) is None
     by_key.discard(second)
     by_key.discard(third)
@@ -48,15 +48,17 @@
     assert by_key.get(7) is None and not by_key.last and not by_key.others
 
 
-def test_a_backend_that_was_called_back_is_the_one_that_peers_speak_of():
-    made, _ = node([listed("s-0"), listed("s-1")])
-    before = made.backends["s-0"]
-    made.on_maintenance(NOW, "s-0", True)
-    assert len(made.registry.endpoints) == 1
-    made.on_maintenance(NOW + 10, "s-0", False)
-    after = made.backends["s-0"]
-    assert after is not before and made.registry.by_key.get(before.key) is after
-    assert [b for group in made.registry.endpoints.groups() for b in group if b.name == "s-0"] == [after]
-    made.on_gossip(NOW + 20, 1, [GossipMessage(GossipKind.EJECTED, after.key, 0)])
-    made.on_endpoint_list(NOW + 30, [listed("s-0", state="gone")], False)
-    assert made.registry.by_key.get(before.key) is None and len(made.registry.endpoints) == 1
+def test_gossip_key_finds_the_backend_after_its_ban_is_lifted():
+    balancer, _ = node([listed("s-0"), listed("s-1")])
+    original = balancer.backends["s-0"]
+    balancer.on_maintenance(NOW, "s-0", True)
+    assert len(balancer.registry.endpoints) == 1
+    balancer.on_maintenance(NOW + 10, "s-0", False)
+    replacement = balancer.backends["s-0"]
+    assert replacement is not original and balancer.registry.by_key.get(original.key) is replacement
+    assert [b for group in balancer.registry.endpoints.groups() for b in group if b.name == "s-0"] == [
+        replacement
+    ]
+    balancer.on_gossip(NOW + 20, 1, [GossipMessage(GossipKind.EJECTED, replacement.key, 0)])
+    balancer.on_endpoint_list(NOW + 30, [listed("s-0", state="gone")], False)
+    assert balancer.registry.by_key.get(original.key) is None and len(balancer.registry.endpoints) == 1
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""Limits that nodes share: the sum never over its bound, and used where the traffic is."""
+"""Tests of fleet-wide rate limits: the sum of all rates never exceeds the limit, and follows the traffic."""
 
 import pytest
 from hypothesis import given, settings
@@ -49,13 +49,13 @@
         fleet.run(fleet.at + int(fleet.rng.uniform(0.5, 2.0) * fleet.bounds.lease))
     for window, most, allowed in fleet.windows():
         if most > allowed:
-            raise Broken(f"{most} in {window} s, {allowed:.1f} allowed")
+            raise Broken(f"{most} requests admitted in {window} s, at most {allowed:.1f} allowed")
 
 
 @pytest.mark.parametrize("first", range(0, 12, 3))
-def test_the_sum_is_never_over_its_bound(first):
+def test_admitted_requests_within_limit_under_faults(first):
     for seed in range(first, first + 3):
-        moving(fleet(seed), faults=0.7)
+        moving_traffic(make_fleet(seed), faults=0.7)
 
 
 @settings(max_examples=10, deadline=None, derandomize=True, database=None)
@@ -65,105 +65,105 @@
     moving_traffic(fleet, 8, 0.7)
 
 
-class Regrants(QuotaLeaseGranter):
-    """Counts on what it granted last, not on what may still be used."""
+class CountsOnlyLastGrant(QuotaLeaseGranter):
+    """A leader that counts only the last grant of a node, not earlier ones that may still be used."""
 
-    def outstanding_rate(self, now, number, node):
-        super().outstanding_rate(now, number, node)
-        outstanding = self.outstanding[number][node]
+    def outstanding_rate(self, now, limit_index, node):
+        super().outstanding_rate(now, limit_index, node)
+        outstanding = self.outstanding[limit_index][node]
         return outstanding[-1].rate if outstanding else 0.0
 
 
-class Hurried(QuotaLeaseGranter):
-    """Does not wait for what the leader before it may have granted."""
+class IgnoresEarlierGrants(QuotaLeaseGranter):
+    """A new leader that does not wait for the end of grants by an earlier leader."""
 
     def __init__(self, limits, nodes, bounds, now):
         super().__init__(limits, nodes, bounds, now)
         self.silent_until = now
 
 
-class FromReceipt(QuotaLeaseHolder):
-    """A grant lasts from when it comes, so also longer each time that it comes again."""
+class GrantFromReceipt(QuotaLeaseHolder):
+    """Counts a grant's duration from when it was received, so that a repeated grant lasts longer."""
 
     def on_grants(self, now, grants, replied_at):
         super().on_grants(now, grants, now)
 
 
-class Reopened(QuotaLeaseHolder):
-    """Takes grants from before it gave everything back."""
+class AcceptsReturnedGrants(QuotaLeaseHolder):
+    """Accepts grants that answer a reply from before the node returned its grants."""
 
     def open(self, now):
         self.closed = False
 
 
 class NoDrift(Bounds):
-    def longest_grant(self):
+    def max_remote_grant_duration(self):
         return self.grant_duration
 
 
-def given_back(made):
-    """Nodes stand by for a moment, again and again, while messages are slow."""
-    made.delay = (2, made.bounds.grant_duration // 3)
+def grants_returned(fleet):
+    """Nodes repeatedly stand by for a moment, on slow links."""
+    fleet.delay = (2, fleet.bounds.grant_duration // 3)
     for number in range(40):
         hot, other = fleet.rng.sample(fleet.names, 2)
         fleet.loads = {hot: 400.0, other: 400.0}
         fleet.run(fleet.at + 2 * fleet.bounds.heartbeat_interval)
         node = fleet.replica_nodes[hot]
         node.holder.close(node.now())
-        made.run(made.at + made.bounds.heartbeat_interval * (1 + number % 4))
+        fleet.run(fleet.at + fleet.bounds.heartbeat_interval * (1 + number % 4))
         node.holder.open(node.now())
-        made.run(made.at + 2 * made.bounds.heartbeat_interval)
+        fleet.run(fleet.at + 2 * fleet.bounds.heartbeat_interval)
 
 
-def random_faults(made):
-    moving(made, 20, 0.7)
+def random_faults(fleet):
+    moving_traffic(fleet, 20, 0.7)
 
 
-def leaders_frozen(made):
-    made.delay = (2, 600)
+def leaders_suspended(fleet):
+    fleet.delay = (2, 600)
     for number in range(8):
-        made.loads = {made.names[number % 9]: 400.0, made.names[(number + 4) % 9]: 400.0 * (number % 2)}
-        made.run(made.at + 3 * made.bounds.heartbeat_interval)
-        leading = made.leader() or "n0"
-        made.freeze(leading)
-        made.run(made.at + 3 * made.bounds.lease)
-        made.loads = {made.names[(number + 2) % 9]: 400.0}
-        made.wake(leading)
-        made.run(made.at + made.bounds.lease)
-
-
-def hot_ones_cut_off(made):
-    """One after the other: whoever has most is cut off, and its traffic goes elsewhere."""
-    for name in made.names:
-        made.loads = {name: 400.0}
-        made.run(made.at + 3 * made.bounds.grant_duration)
-        if made.leader() in ("", name):
+        fleet.loads = {fleet.names[number % 9]: 400.0, fleet.names[(number + 4) % 9]: 400.0 * (number % 2)}
+        fleet.run(fleet.at + 3 * fleet.bounds.heartbeat_interval)
+        leader_name = fleet.leader() or "n0"
+        fleet.freeze(leader_name)
+        fleet.run(fleet.at + 3 * fleet.bounds.lease)
+        fleet.loads = {fleet.names[(number + 2) % 9]: 400.0}
+        fleet.wake(leader_name)
+        fleet.run(fleet.at + fleet.bounds.lease)
+
+
+def busiest_nodes_isolated(fleet):
+    """Isolates one node after the other while it has the largest grant, and moves its traffic."""
+    for name in fleet.names:
+        fleet.loads = {name: 400.0}
+        fleet.run(fleet.at + 3 * fleet.bounds.grant_duration)
+        if fleet.leader() in ("", name):
             continue
-        made.split([name], [other for other in made.names if other != name])
-        made.loads = {made.leader(): 400.0}
-        made.run(made.at + 2 * made.bounds.grant_duration)
-        made.heal()
-        made.run(made.at + 2 * made.bounds.lease)
-
-
-def late_messages(made):
-    """Messages take up to half as long as a grant lasts."""
-    made.delay = (2, made.bounds.grant_duration // 2)
-    hot_ones_cut_off(made)
-
-
-PLAYS = [given_back, leaders_frozen, hot_ones_cut_off, late_messages]
-BUILDS = [
-    (Regrants, random_faults),
-    (Hurried, leaders_frozen),
-    (FromReceipt, late_messages),
-    (NoDrift, hot_ones_cut_off),
-    (Reopened, given_back),
+        fleet.split([name], [other for other in fleet.names if other != name])
+        fleet.loads = {fleet.leader(): 400.0}
+        fleet.run(fleet.at + 2 * fleet.bounds.grant_duration)
+        fleet.heal()
+        fleet.run(fleet.at + 2 * fleet.bounds.lease)
+
+
+def slow_links(fleet):
+    """Isolates nodes on links with a delay of up to half a grant's duration."""
+    fleet.delay = (2, fleet.bounds.grant_duration // 2)
+    busiest_nodes_isolated(fleet)
+
+
+SCENARIOS = [grants_returned, leaders_suspended, busiest_nodes_isolated, slow_links]
+VARIANTS = [
+    (CountsOnlyLastGrant, random_faults),
+    (IgnoresEarlierGrants, leaders_suspended),
+    (GrantFromReceipt, slow_links),
+    (NoDrift, busiest_nodes_isolated),
+    (AcceptsReturnedGrants, grants_returned),
 ]
 
 
-@pytest.mark.parametrize("play", PLAYS, ids=lambda one: one.__name__)
-def test_plays(play):
+@pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda value: value.__name__)
+def test_limit_kept_in_scenario(scenario):
     for seed in range(4):
         scenario(make_fleet(seed, bounds=(SHORT_BOUNDS, LONG)[seed % 2]))
 
@@ -178,10 +178,10 @@
     make = type("Broken", (LimitedReplicas,), {"make_holder": holder})
     for seed in range(20):
         try:
-            play(fleet(seed, bounds=bounds, make=make))
+            scenario(make_fleet(seed, bounds=bounds, make=make))
         except Broken:
             return
-    pytest.fail("not caught")
+    pytest.fail("no check failed for the faulty variant")
 
 
 @pytest.mark.parametrize("hot", [["n0"], ["n3", "n8"], [f"n{i}" for i in range(9)]])
@@ -214,7 +214,7 @@
     assert leader_side + guaranteed >= 0.95 * LIMIT.rate
 
 
-def test_what_is_measured_of_larger_fleets():
+def test_measured_fairness_shift_time_and_traffic():
     found = measured(9)
     assert found["worst"] <= 1.0 + 1e-6 and found["shift_s"] <= 2.0
     assert found["jain"] > 0.98 and found["other_bytes_s"] < found["author_bytes_s"] < 20_000
@@ -231,16 +231,16 @@
     assert fleet.admitted_rate(since, fleet.at) >= 0.95 * LIMIT.rate
 
 
-def test_all_nodes_get_as_much_where_all_want_more():
-    made = fleet(2)
-    made.loads = dict.fromkeys(made.names, 100.0)
-    made.run(made.at + 100_000)
-    assert fairness(list(made.admitted_by.values())) > 0.98
+def test_equal_rates_when_all_demands_exceed_limit():
+    fleet = make_fleet(2)
+    fleet.loads = dict.fromkeys(fleet.names, 100.0)
+    fleet.run(fleet.at + 100_000)
+    assert fairness(list(fleet.admitted_by.values())) > 0.98
 
 
-def test_a_limit_changed_in_service_up_and_down_by_ten():
-    made = fleet(2, limit=LIMIT._replace(burst=200.0))
-    made.loads = dict.fromkeys(made.names, 300.0)
+def test_changed_quota_in_force_within_three_leases():
+    fleet = make_fleet(2, limit=LIMIT._replace(burst=200.0))
+    fleet.loads = dict.fromkeys(fleet.names, 300.0)
     for number, rate in enumerate((2000.0, 20.0, 0.0, 200.0)):
         fleet.limit = fleet.limit._replace(rate=max(rate, fleet.limit.rate))
         fleet.call(fleet.leader(), number, [Verdict("quota", "acme", figure=rate)])
@@ -252,7 +252,7 @@
 
 
 @pytest.mark.parametrize(
-    "pool, wants, parts",
+    "pool, demand, expected",
     [
         (90, {"a": 10, "b": 50, "c": 50}, {"a": 10, "b": 40, "c": 40}),
         (90, {"a": 0, "b": 0, "c": 0}, {"a": 30, "b": 30, "c": 30}),
@@ -261,14 +261,14 @@
         (9, {"a": float("inf"), "b": 1}, {"a": 8, "b": 1}),
     ],
 )
-def test_max_min(pool, wants, parts):
-    assert max_min(pool, wants) == pytest.approx(parts)
+def test_max_min_fair_allocation(pool, demand, expected):
+    assert max_min(pool, demand) == pytest.approx(expected)
 
 
-def test_a_bucket_fills_by_what_is_granted_until_that_ends():
+def test_bucket_filled_at_granted_rate_until_grant_expires():
     bucket = Bucket(50.0, 0)
     bucket.guaranteed_rate, bucket.guaranteed_from = 1.0, 10_000
     bucket.granted_rate, bucket.granted_until = 10.0, 20_000
-    assert sum(bucket.take(40_000) for _ in range(100)) == 23  # 3 s at 1, 2 s at 10
+    assert sum(bucket.take(40_000) for _ in range(100)) == 23  # 3 s at 1 per second, 2 s at 10 per second
     assert sum(bucket.take(50_000) for _ in range(100)) == 1
-    assert Bucket(1.0, 0).take(0) is False, "a new incarnation has nothing left of the one before"
+    assert Bucket(1.0, 0).take(0) is False, "a new incarnation must start with an empty bucket"
