--- a/basalthoist/decisions/balancer.py
+++ b/basalthoist/decisions/balancer.py
@@ -176,7 +176,7 @@
         attempt = request.attempts[attempt_number]
         if self.slow_start.waited_too_long(attempt.backend, attempt.sent_at, now):
             return False
-        return self.retry.may_repeat(request, attempt_number, attempt.backend, now)
+        return self.retry.causes_no_duplicate(request, attempt_number, attempt.backend, now)
 
     def on_response_started(self, now: int, ident: int, attempt_number: int) -> None:
         """Handles the start of a response that is streamed to the client."""
--- a/basalthoist/decisions/retry.py
+++ b/basalthoist/decisions/retry.py
@@ -25,14 +25,14 @@
             return False
         attempts = request.attempts
         if not attempts:
-            return self.may_repeat(request, 0, backend, now)
+            return self.causes_no_duplicate(request, 0, backend, now)
         if request.body_consumed or len(attempts) >= self.settings.max_attempts:
             return False
         if not self.settings.parallel_attempts and request.has_open_attempt():
             return False
-        return self.may_repeat(request, len(attempts), backend, now)
+        return self.causes_no_duplicate(request, len(attempts), backend, now)
 
-    def may_repeat(self, request: Request, attempts_before: int, backend: Backend, now: int) -> bool:
+    def causes_no_duplicate(self, request: Request, attempts_before: int, backend: Backend, now: int) -> bool:
         """Returns whether an attempt after the first `attempts_before` ones causes no duplicate effect."""
         executed = [a for a in request.attempts[:attempts_before] if a.outcome not in NEVER_RAN]
         if not executed or request.route.is_idempotent:
--- a/basalthoist/emulator/distributed.py
+++ b/basalthoist/emulator/distributed.py
@@ -75,7 +75,7 @@
         world, size = self.world, size_of(message) if message is not None else 0
         self.bytes_in_flight[to] += size
         self.ends[1 - to].count_sent(size, message, isinstance(self.ends[OPENER], RelayMachine))
-        arrival = world.at + world.chance.randint(*world.delay)
+        arrival = world.at + world.rng.randint(*world.delay)
         self.last_arrival[to] = max(self.last_arrival[to], arrival)
         world.later(self.last_arrival[to] - world.at, (self.arrive, to, message, size))
 
@@ -133,8 +133,8 @@
         self.frozen = False
         self.incarnation = 0
         self.highest_version = -1  # the highest version that this incarnation has acted on
-        self.rate: float = world.chance.choice((1 - drift, 1.0, 1 + drift))
-        self.clock_start: int = world.chance.randrange(10**6, 10**9)
+        self.rate: float = world.rng.choice((1 - drift, 1.0, 1 + drift))
+        self.clock_start: int = world.rng.randrange(10**6, 10**9)
         self.inbox: list[tuple] = []  # messages received while frozen
         self.files: list[bytes] = []  # contents as written, the latest last
         self.bytes_out = 0
@@ -142,7 +142,7 @@
         self.bytes_in = 0
         self.messages_in = 0
         self.bytes_between_machines = 0  # part of bytes_out
-        world.later(world.chance.randrange(TICK), (self.tick,))
+        world.later(world.rng.randrange(TICK), (self.tick,))
 
     def now(self) -> int:
         """Returns the time by the process's clock."""
@@ -257,7 +257,7 @@
         data = self.files[-1] if self.files else b""
         self.store: Store = classes["store"].from_bytes(FLEET, data, bounds.history_bytes)
         self.relay: Relay = classes["relay"](self, self.name, self.incarnation, bounds, self.store, now)
-        random = Lcg(world.chance.getrandbits(60))
+        random = Lcg(world.rng.getrandbits(60))
         self.leader_link = LeaderLink(self)
         own, voters = (self.name, self.incarnation, self.region), list(world.voter_addresses.values())
         self.leader_session: LeaderSession = classes["leader_session"](
@@ -362,7 +362,7 @@
         self.world.verify_commit(self)
         self.relay.on_commit(self.now(), entries)
         # The file may be rewritten completely at any time.
-        if self.store.needs_rewrite() or self.world.chance.random() < REWRITE_PROBABILITY:
+        if self.store.needs_rewrite() or self.world.rng.random() < REWRITE_PROBABILITY:
             self.write_file(self.store.to_bytes(FLEET))
 
     def on_proposal(self) -> None:
@@ -391,7 +391,7 @@
         self.start()
         self.connection, self.tenant_bodies = None, {}
         hint = from_bytes(FLEET, self.files[-1]) if keeps and self.files else None
-        random = Lcg(world.chance.getrandbits(60))
+        random = Lcg(world.rng.getrandbits(60))
         own = self.name, self.incarnation, self.region, self.scopes
         self.subscriber: Subscriber = world.classes["subscriber"](
             self, *own, world.seeds, world.distribution_bounds, random, self.now(), hint
@@ -495,7 +495,7 @@
             for name, address in addresses.items()
         ]
         for number in range(count):
-            scopes = self.chance.sample(self.services, 1 + number % 2)
+            scopes = self.rng.sample(self.services, 1 + number % 2)
             self.add_node(f"b{number}", self.regions[number % regions], scopes)
 
     def make_machines(self, names: list[str]) -> dict[str, str]:
--- a/basalthoist/emulator/distribution_faults.py
+++ b/basalthoist/emulator/distribution_faults.py
@@ -45,7 +45,7 @@
     ) -> None:
         self.world = world
         self.faults = faults
-        self.random = world.chance
+        self.random = world.rng
         self.call_probability = call_probability
         self.injected: list[str] = []  # faults so far, for the analysis of a failure
         self.gap: float = gap or self.random.choice(MEAN_GAPS)
--- a/basalthoist/emulator/replica_faults.py
+++ b/basalthoist/emulator/replica_faults.py
@@ -17,7 +17,7 @@
     def __init__(self, fleet: Replicas, faults: int) -> None:
         self.fleet: Replicas = fleet
         self.faults: int = faults
-        self.rng: Random = fleet.chance
+        self.rng: Random = fleet.rng
         self.calls: int = 0
         self.history: list[str] = []
 
--- a/basalthoist/emulator/replicas.py
+++ b/basalthoist/emulator/replicas.py
@@ -50,7 +50,7 @@
         fleet = self.fleet
         self.incarnation += 1
         hint = self.hint if keeps else None
-        rng = Lcg(fleet.chance.getrandbits(60))
+        rng = Lcg(fleet.rng.getrandbits(60))
         self.known_incarnations: dict[str, int] = {}  # of other nodes, as last seen by this one
         self.highest_applied: int = -1
         now = self.now()
@@ -112,7 +112,7 @@
         limits: Sequence[Limit] = (),
     ) -> None:
         self.limits: list[Limit] = list(limits)
-        self.chance: Random = Random(seed)
+        self.rng: Random = Random(seed)
         self.bounds: Bounds = bounds
         self.at: int = 0
         self.make: type = make
@@ -134,12 +134,12 @@
         self.worst_age: int = 0
         rates = 1 - bounds.drift, 1.0, 1 + bounds.drift
         self.replica_nodes: dict[str, ReplicaNode] = {
-            name: ReplicaNode(self, name, self.chance.choice(rates)) for name in self.names
+            name: ReplicaNode(self, name, self.rng.choice(rates)) for name in self.names
         }
         for node in self.replica_nodes.values():
-            node.start = self.chance.randrange(10**6, 10**9)
+            node.start = self.rng.randrange(10**6, 10**9)
             node.begin()
-            self.later(self.chance.randrange(TICK), ("tick", node.name))
+            self.later(self.rng.randrange(TICK), ("tick", node.name))
 
     def later(self, after: int, event: tuple) -> None:
         """Schedules an event after a delay in true time."""
@@ -150,11 +150,11 @@
         """Transmits a message, which may be lost or duplicated."""
         self.sent_messages += 1
         incarnations = source.incarnation, source.known_incarnations.get(name, 1)
-        if (source.name, name) in self.cut or self.chance.random() < self.loss:
+        if (source.name, name) in self.cut or self.rng.random() < self.loss:
             return
-        for _ in range(2 if self.chance.random() < self.double else 1):
+        for _ in range(2 if self.rng.random() < self.double else 1):
             event = MESSAGE, source.name, name, incarnations, message
-            self.later(self.chance.randint(*self.delay), event)
+            self.later(self.rng.randint(*self.delay), event)
 
     def run(self, until: int) -> None:
         """Processes all events until a true time."""
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -40,15 +40,13 @@
     injector = FaultInjector(fleet, 0)
     kinds = "kill", "freeze", "freeze", "split", "one way", "slow"
     for _ in range(steps):
-        hot = fleet.chance.sample(fleet.names, fleet.chance.randint(1, 3))
+        hot = fleet.rng.sample(fleet.names, fleet.rng.randint(1, 3))
         fleet.loads = {name: 300.0 if name in hot else 5.0 for name in fleet.names}
-        if fleet.chance.random() < faults:
-            name = fleet.leader() if fleet.chance.random() < 0.5 else ""
-            lasts = int(fleet.chance.choice((0.3, 1.0, 3.0)) * fleet.bounds.lease)
-            injector.inject(
-                fleet.chance.choice(kinds), name or fleet.chance.choice(fleet.names), lasts, (2, 30)
-            )
-        fleet.run(fleet.at + int(fleet.chance.uniform(0.5, 2.0) * fleet.bounds.lease))
+        if fleet.rng.random() < faults:
+            name = fleet.leader() if fleet.rng.random() < 0.5 else ""
+            lasts = int(fleet.rng.choice((0.3, 1.0, 3.0)) * fleet.bounds.lease)
+            injector.inject(fleet.rng.choice(kinds), name or fleet.rng.choice(fleet.names), lasts, (2, 30))
+        fleet.run(fleet.at + int(fleet.rng.uniform(0.5, 2.0) * fleet.bounds.lease))
     for window, most, allowed in fleet.windows():
         if most > allowed:
             raise Broken(f"{most} requests admitted in {window} s, at most {allowed:.1f} allowed")
@@ -107,7 +105,7 @@
     """Nodes repeatedly stand by for a moment, on slow links."""
     fleet.delay = (2, fleet.bounds.grant_duration // 3)
     for number in range(40):
-        hot, other = fleet.chance.sample(fleet.names, 2)
+        hot, other = fleet.rng.sample(fleet.names, 2)
         fleet.loads = {hot: 400.0, other: 400.0}
         fleet.run(fleet.at + 2 * fleet.bounds.heartbeat_interval)
         node = fleet.replica_nodes[hot]
