--- a/basalthoist/experiments/cluster/relay.py
+++ b/basalthoist/experiments/cluster/relay.py
@@ -1,8 +1,7 @@
-"""Directed links between processes, and from each process to discovery, with fault injection on each.
+"""Every directed link between two processes, and from each to discovery, with what can go wrong on it.
 
-Each ordered pair of nodes has one UDP socket, whose address the first node uses for the second. A datagram
-received there is sent on from the socket of the opposite pair, so that the second node sees it come from the
-address that it uses for the first.
+For each ordered pair there is one socket. The first of the pair knows the second by its address; what comes
+there goes on from the socket of the opposite pair, so that the second sees it where it knows the first.
 """
 
 import asyncio
@@ -12,26 +11,26 @@
 Address = tuple[str, int]
 
 
-class Link:
-    """One direction. Each fault holds a count or a list, as several events of a timeline may overlap."""
+class Way:
+    """One direction. Faults count how many of the timeline's events ask for them."""
 
     def __init__(self, rng: Random) -> None:
-        self.rng, self.cut, self.stalled, self.delays_ms = rng, 0, 0, []
+        self.rng, self.cut, self.stalled, self.late_ms = rng, 0, 0, []
         self.lose, self.double, self.corrupt = [], [], []
         self.waiting: list[bytes] = []
         self.passed = 0
 
-    def forward(self, data: bytes, deliver) -> None:
-        if self.cut or any(self.rng.random() < ratio for ratio in self.lose):
+    def take(self, data: bytes, deliver) -> None:
+        if self.cut or any(self.rng.random() < part for part in self.lose):
             return
         if self.stalled:
             self.waiting.append(data)
             return
-        if any(self.rng.random() < ratio for ratio in self.corrupt):
+        if any(self.rng.random() < part for part in self.corrupt):
             at = self.rng.randrange(len(data))
             data = data[:at] + bytes([data[at] ^ 1 << self.rng.randrange(8)]) + data[at + 1 :]
-        for _ in range(1 + any(self.rng.random() < ratio for ratio in self.double)):
-            wait = sum(self.rng.uniform(0, ms) for ms in self.delays_ms) / 1000
+        for _ in range(1 + any(self.rng.random() < part for part in self.double)):
+            wait = sum(self.rng.uniform(0, ms) for ms in self.late_ms) / 1000
             if wait:
                 asyncio.get_running_loop().call_later(wait, deliver, data)
             else:
@@ -44,7 +43,7 @@
             deliver(data)
 
 
-class LinkSocket(asyncio.DatagramProtocol):
+class End(asyncio.DatagramProtocol):
     def __init__(self, mesh: "Mesh", pair: tuple[int, int]) -> None:
         self.mesh, self.pair, self.transport = mesh, pair, None
 
@@ -52,67 +51,67 @@
         self.transport = transport
 
     def datagram_received(self, data: bytes, sender: tuple) -> None:
-        source, destination = self.pair
-        if sender[:2] == self.mesh.nodes[source]:
-            self.mesh.links[self.pair].forward(data, self.mesh.deliverer(source, destination))
+        one, other = self.pair
+        if sender[:2] == self.mesh.nodes[one]:
+            self.mesh.ways[self.pair].take(data, self.mesh.deliverer(one, other))
 
 
 class Mesh:
-    """All links between nodes. `nodes`: the address at which each process listens for fleet datagrams."""
+    """`nodes`: where each process listens for the fleet's words."""
 
     def __init__(self, nodes: list[Address], rng: Random) -> None:
         self.nodes, count = nodes, len(nodes)
         self.pairs = [(i, j) for i in range(count) for j in range(count) if i != j]
-        self.links = {pair: Link(rng) for pair in self.pairs}
-        self.sockets: dict[tuple[int, int], LinkSocket] = {}
-        self.tcp_links: list[TcpLink] = []
+        self.ways = {pair: Way(rng) for pair in self.pairs}
+        self.ends: dict[tuple[int, int], End] = {}
+        self.doors: list[Door] = []
 
     async def open(self) -> None:
         loop = asyncio.get_running_loop()
         for pair in self.pairs:
-            _, self.sockets[pair] = await loop.create_datagram_endpoint(
-                lambda pair=pair: LinkSocket(self, pair), local_addr=("127.0.0.1", 0)
+            _, self.ends[pair] = await loop.create_datagram_endpoint(
+                lambda pair=pair: End(self, pair), local_addr=("127.0.0.1", 0)
             )
 
-    def address(self, source: int, destination: int) -> str:
-        """Returns the address that the first node uses for the second."""
-        if source == destination:
-            return "{}:{}".format(*self.nodes[source])
-        return "{}:{}".format(*self.sockets[source, destination].transport.get_extra_info("sockname")[:2])
+    def address(self, one: int, other: int) -> str:
+        """Where the first finds the second."""
+        if one == other:
+            return "{}:{}".format(*self.nodes[one])
+        return "{}:{}".format(*self.ends[one, other].transport.get_extra_info("sockname")[:2])
 
-    def deliverer(self, source: int, destination: int):
+    def deliverer(self, one: int, other: int):
         def deliver(data: bytes) -> None:
-            transport = self.sockets[destination, source].transport
+            transport = self.ends[other, one].transport
             if not transport.is_closing():
-                transport.sendto(data, self.nodes[destination])
+                transport.sendto(data, self.nodes[other])
 
         return deliver
 
     def release(self, pair: tuple[int, int]) -> None:
-        if not self.links[pair].stalled:
-            self.links[pair].release(self.deliverer(*pair))
+        if not self.ways[pair].stalled:
+            self.ways[pair].release(self.deliverer(*pair))
 
-    async def open_tcp_link(self, target: Address) -> "TcpLink":
-        """Opens a link to discovery for one process."""
-        tcp_link = TcpLink(target)
-        await tcp_link.open()
-        self.tcp_links.append(tcp_link)
-        return tcp_link
+    async def door(self, target: Address) -> "Door":
+        """A way to discovery for one process."""
+        door = Door(target)
+        await door.open()
+        self.doors.append(door)
+        return door
 
     def close(self) -> None:
-        for socket in self.sockets.values():
-            socket.transport.close()
-        for tcp_link in self.tcp_links:
-            tcp_link.close()
+        for end in self.ends.values():
+            end.transport.close()
+        for door in self.doors:
+            door.close()
 
 
-class TcpLink:
-    """Forwards TCP to `target`. While cut it forwards nothing, serves no new connection and closes none."""
+class Door:
+    """TCP to `target`; while it is cut nothing passes, silently, and no new connection is answered."""
 
     def __init__(self, target: Address) -> None:
         self.target, self.cut, self.server, self.writers = target, 0, None, set()
-        self.connected = asyncio.Event()
-        self.connected.set()
+        self.whole = asyncio.Event()
+        self.whole.set()
 
     async def open(self) -> None:
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
@@ -120,7 +119,7 @@
 
     async def serve(self, reader, writer) -> None:
         with contextlib.suppress(OSError, asyncio.CancelledError):
-            await self.connected.wait()
+            await self.whole.wait()
             theirs, ours = await asyncio.open_connection(*self.target)
             self.writers |= {writer, ours}
             await asyncio.gather(self.pass_on(reader, ours), self.pass_on(theirs, writer))
@@ -128,13 +127,13 @@
     async def pass_on(self, reader, writer) -> None:
         with contextlib.suppress(OSError):
             while data := await reader.read(65536):
-                await self.connected.wait()
+                await self.whole.wait()
                 writer.write(data)
             writer.close()
 
     def set_cut(self, more: int) -> None:
         self.cut += more
-        (self.connected.clear if self.cut else self.connected.set)()
+        (self.whole.clear if self.cut else self.whole.set)()
 
     def reset(self) -> None:
         for writer in self.writers:
--- a/basalthoist/net/control/relay_process.py
+++ b/basalthoist/net/control/relay_process.py
@@ -1,8 +1,7 @@
-"""A relay process on a dedicated machine: `python -m basalthoist relay FILE`. See docs/distribution.md.
+"""A machine set aside for control: `python -m basalthoist relay FILE`. A store, its connection to the leader,
+the sessions of nodes; where it votes, the register's replica and a publisher as well. docs/distribution.md.
 
-It has a store, a connection to the leader and the sessions of nodes; a voter also has a replica of the
-register and a publisher. The protocols' decisions are made in `distribution/` and `fleet/`; this module
-carries their messages.
+What is decided is decided in `distribution/` and `fleet/`; here messages are carried.
 """
 
 import asyncio
@@ -48,15 +47,15 @@
 LOG_LINES_PER_S = 50
 RESERVED_DESCRIPTORS = 48
 UNLIMITED_DESCRIPTORS = 1 << 20
-ADMIN_LINE_TIMEOUT_S = 5.0
+ADMIN_LINE_S = 5.0  # a caller at the admin interface has to end its line
 BACKLOG = 1024
-BIND_TIMEOUT_S = 5.0  # A previous process of this relay may still have the address.
+BIND_S = 5.0  # how long an address may still be in use by a process before this one
 BIND_RETRY_S = 0.05
-FINAL_WRITE_TIMEOUT_S = 2.0
+LAST_WRITE_S = 2.0  # for the file, at the end
 
 
 class RegisterVoter(ReplicaSocket):
-    """A voter's replica of the register. Calls `on_register_event` after each message and on each tick."""
+    """The register's replica. `on_register_event` is called after whatever came to it, and on each tick."""
 
     def __init__(
         self,
@@ -73,61 +72,61 @@
         self.on_register_event = on_register_event
         voters = sorted(register.voters)
         self.replica = Replica(
-            self, settings.name, voters, voters, bounds, self.random, now, self.hint_file.read()
+            self, settings.name, voters, voters, bounds, self.rng, now, self.hint_file.read()
         )
 
     def tick(self) -> None:
-        """Drives the replica's timers."""
+        """The replica's time."""
         self.replica.on_tick(boot_time_now())
         self.on_register_event()
 
     def after_message(self, at: int) -> None:
-        """Reports that a message has been delivered to the replica."""
+        """A datagram has come."""
         self.on_register_event()
 
-    # Host of the replica.
+    # As host of the replica.
 
     def apply(self, verdicts: VerdictSet) -> None:
-        """Does nothing: the publisher reads the head from the replica itself."""
+        """The publisher reads the head where it stands."""
 
     def answer_call(self, call_id: int, text: str) -> None:
-        """Does nothing: operators' calls go to the publisher, never to this replica."""
+        """Operators call the publisher."""
 
     def detected_outliers(self) -> list[str]:
-        """Returns no outliers, because a relay process has no backends."""
+        """No backends are known here."""
         return []
 
     def backend_count(self) -> int:
-        """Returns 0, because a relay process has no backends."""
+        """No backends are known here."""
         return 0
 
 
 class LeaderLink(OutgoingConnection):
-    """The connection to the leader, and host of the leader session."""
+    """The connection to the leader: host of the leader session."""
 
     def __init__(self, process: "RelayProcess") -> None:
         super().__init__(process.loop, process.key, process.log)
         self.process = process
 
     def on_commit(self, entries: list[Entry]) -> None:
-        """Handles a later version of the store, with the entries that changed."""
+        """The store has a later version."""
         self.process.on_commit(entries)
 
     def on_proposal(self) -> None:
-        """Handles a new pending change of the store."""
+        """The store has another pending change."""
         self.process.on_proposal()
 
     def relay_state(self) -> RelayState:
-        """Returns the state of this process's relay, which heartbeats report to the leader."""
+        """Of the relay here."""
         return self.process.relay.state(boot_time_now())
 
     def on_answer(self, call_id: int, text: str) -> None:
-        """Answers a call of an operator at this process, or of a node that has passed a call on."""
+        """To an operator here, or a node that passed a call on."""
         self.process.calls.answer(call_id, text)
 
 
 class RelayProcess(ConfigurationCalls):
-    """A relay process: host of the relay and, if this process is a voter, of the publisher."""
+    """Host of relay and publisher."""
 
     def __init__(self, settings: DistributionDocument, loop: asyncio.AbstractEventLoop, folder: str) -> None:
         now, name, incarnation = boot_time_now(), settings.name, new_incarnation()
@@ -150,14 +149,14 @@
         if name in settings.voters:
             self.voting = self.make_voter(folder)
             self.publisher = self.make_publisher(self.voting, incarnation)
-        self.sessions = IncomingSessions(self.relay, self.publisher, max_connections(), self.call, self.log)
+        self.sessions = IncomingSessions(self.relay, self.publisher, max_open(), self.call, self.log)
         self.admin: Admin | None = self.make_admin() if settings.admin else None
         self.listener: Listener | None = None
         self.timers.every(TICK, self.tick)
         self.timers.every(int(settings.keep_s * SECOND), self.file.save)
 
     def make_leader_session(self, incarnation: int, now: int) -> LeaderSession:
-        """Creates the session that keeps this process's store up to date with the leader."""
+        """Of this process's store."""
         settings = self.settings
         random = Lcg(int.from_bytes(os.urandom(7), "big"))
         voters = [voter.address for voter in settings.voters.values()]
@@ -165,25 +164,21 @@
         return LeaderSession(self.leader_link, *own, voters, self.bounds, self.store, random, now)
 
     def make_voter(self, folder: str) -> RegisterVoter:
-        """Creates the replica of the register, for a process that is a voter."""
+        """For a process that is among the voters."""
         common = self.timers, self.log, self.disk_worker
         return RegisterVoter(self.settings, folder, *common, self.on_register_event)
 
-    def make_publisher(self, register_voter: RegisterVoter, incarnation: int) -> Publisher:
-        """Creates the publisher, for a process that is a voter."""
-        voters = {name: voter.address for name, voter in self.settings.voters.items()}
+    def make_publisher(self, voter: RegisterVoter, incarnation: int) -> Publisher:
+        """For a process that is among the voters."""
+        voters = {name: one.address for name, one in self.settings.voters.items()}
         own = self.settings.name, incarnation
-        head = RegisterHead(register_voter.replica)
+        head = RegisterHead(voter.replica)
         return Publisher(self, head, *own, voters, self.bounds, self.store, check_entries)
 
     def make_admin(self) -> Admin:
-        """Creates the admin interface with the operators' calls."""
+        """The operators' calls."""
         admin = Admin(
-            {"config-here": self.here},
-            {"config-drop": self.drop},
-            self.timers,
-            self.log,
-            ADMIN_LINE_TIMEOUT_S,
+            {"config-here": self.here}, {"config-drop": self.drop}, self.timers, self.log, ADMIN_LINE_S
         )
         admin.deferred_calls["config-status"] = self.status
         admin.calls_with_figure["config-set"] = self.set
@@ -192,62 +187,62 @@
     # Time.
 
     def tick(self) -> None:
-        """Drives the timers of all parts of the process."""
+        """Of everything here."""
         now = boot_time_now()
         if self.voting is not None:
             self.voting.tick()
         run_guarded(self.leader_session.on_tick, self.log, now)
         run_guarded(self.relay.on_tick, self.log, now)
-        self.sessions.end_sessions_without_handshake(self.bounds.silent)
+        self.sessions.end_unidentified(self.bounds.silent)
 
     def on_register_event(self) -> None:
-        """Lets the publisher act on a possible change in the register's replica."""
+        """Something came to the register's replica."""
         if self.publisher is not None:
             run_guarded(self.publisher.on_register_event, self.log, boot_time_now())
 
-    # Host of relay and publisher.
+    # As host of relay and publisher.
 
     def send(self, session: int, message: Message | EncodedMessage) -> None:
-        """Sends a message on the session of a node or of another relay."""
+        """To a node or another relay."""
         self.sessions.send(session, message)
 
     def unsent_bytes(self, session: int) -> int:
-        """Returns how many bytes written to a session are still in the write buffer."""
+        """Written, and not taken by the peer."""
         return self.sessions.unsent_bytes(session)
 
     def end_session(self, session: int, reason: str) -> None:
-        """Ends a session. The role's `on_session_ended` is called later."""
+        """The role learns of it later."""
         self.sessions.end(session, reason)
 
     def age(self, now: int) -> int:
-        """Returns the age of the store's view, in tenths of a millisecond."""
+        """Of the store's view."""
         return self.leader_session.age(now)
 
     def max_sessions(self) -> int:
-        """Returns how many sessions the leader allows here; 0 for no limit."""
+        """As the leader allows."""
         return self.leader_session.max_sessions
 
     def on_all_nodes_current(self, now: int) -> None:
-        """Informs the leader by a heartbeat, at once, that no node here may act on an older version."""
+        """The leader hears of it at once."""
         if self.leader_session.connection.is_established:
             self.leader_session.send_heartbeat(now)
 
     def on_commit(self, entries: list[Entry]) -> None:
-        """Passes a later version of the store on to the relay, with the entries that changed."""
+        """The store has a later version."""
         self.relay.on_commit(boot_time_now(), entries)
 
     def on_proposal(self) -> None:
-        """Writes the store's new pending change to its file."""
+        """The store has another pending change."""
         self.file.append_pending()
 
-    # Operators' calls.
+    # Operators.
 
     def call(self, entries: list[Entry], answer: Answer) -> None:
-        """Sends an operator's call to the leader."""
+        """To the leader."""
         self.leader_session.on_call(boot_time_now(), self.calls.add(answer), entries)
 
     def here(self) -> str:
-        """Returns the answer to `config-here`. Bytes are counted since the process started."""
+        """`config-here`. Bytes are since the process began."""
         age, leader = self.leader_session.age(boot_time_now()), self.leader_session.connection.address
         bytes_in, bytes_out = self.traffic()
         view = f"{age / SECOND:.1f} s old" if age < UNCONFIRMED_AGE else "never confirmed"
@@ -255,22 +250,22 @@
         return f"SUCCESS version {self.store.version} {view} by {leader or 'no author'}, {sessions}"
 
     def traffic(self) -> tuple[int, int]:
-        """Returns the bytes received and sent on all connections since the process started."""
+        """Bytes in and out on connections so far."""
         leader_in, leader_out = self.leader_link.traffic()
         bytes_in, bytes_out = self.sessions.traffic()
         return leader_in + bytes_in, leader_out + bytes_out
 
-    # Start and end.
+    # Beginning and end.
 
     async def serve(self, until: asyncio.Future) -> None:
-        """Serves until the future is done. Raises OSError if an address cannot be bound."""
+        """Until that future is done. Raises OSError where an address can't be listened on."""
         host, port = address_of(self.settings.listen)
         make_stream = partial(MessageStream, self.loop, self.key, self.sessions)
-        sock = await retried_while_in_use(partial(self.open_listening_socket, (host, port)))
+        sock = await retried_while_in_use(partial(self.listening, (host, port)))
         self.listener = Listener(self.loop, self.timers, self.log, sock, make_stream)
         if self.voting is not None:
             address = self.voting.addresses[self.settings.name]
-            await retried_while_in_use(partial(self.open_register_socket, address))
+            await retried_while_in_use(partial(self.open_datagrams, address))
         if self.admin is not None:
             address = address_of(self.settings.admin)
             await retried_while_in_use(partial(self.admin.listen, self.loop, address))
@@ -279,23 +274,23 @@
         await self.end()
 
     async def end(self) -> None:
-        """Closes all sockets and writes the store to its file."""
+        """Closes all that was opened, and keeps the store."""
         self.listener.close()
         self.leader_link.close()
-        self.sessions.end_all("relay process ends")
+        self.sessions.end_all("the relay ends")
         if self.voting is not None:
             self.voting.close()
         if self.admin is not None:
             self.admin.close()
         self.file.save()
-        await self.disk_worker.settle(FINAL_WRITE_TIMEOUT_S)
+        await self.disk_worker.settle(LAST_WRITE_S)
 
-    async def open_listening_socket(self, address: tuple[str, int]) -> socket.socket:
-        """Returns the listening socket for nodes and relays."""
+    async def listening(self, address: tuple[str, int]) -> socket.socket:
+        """For nodes and relays."""
         return listening_socket(address, BACKLOG)
 
-    async def open_register_socket(self, address: tuple[str, int]) -> None:
-        """Opens the UDP socket of the register's replica."""
+    async def open_datagrams(self, address: tuple[str, int]) -> None:
+        """Of the register."""
         sock = socket.socket(family_of(address), socket.SOCK_DGRAM)
         try:
             sock.setblocking(False)
@@ -306,28 +301,26 @@
             raise
 
 
-def max_connections() -> int:
-    """Returns how many connections the process's limit of file descriptors allows."""
+def max_open() -> int:
+    """Connections, by the limit of the process's file descriptors."""
     allowed, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     return allowed - RESERVED_DESCRIPTORS if allowed != resource.RLIM_INFINITY else UNLIMITED_DESCRIPTORS
 
 
 async def retried_while_in_use(listen: Callable[[], Awaitable]) -> socket.socket | None:
-    """Calls `listen` until the address is free, and returns its result.
-
-    Raises OSError if the address is still in use after BIND_TIMEOUT_S, or at once for any other error.
-    """
-    for attempts_left in range(int(BIND_TIMEOUT_S / BIND_RETRY_S), -1, -1):
+    """What `listen` returns. Raises OSError where the address stays in use, or for any other reason."""
+    for attempts_left in range(int(BIND_S / BIND_RETRY_S), -1, -1):
         try:
             return await listen()
         except OSError as error:
+            # Guards against a process before this one that has not yet let go of the address.
             if error.errno != errno.EADDRINUSE or not attempts_left:
                 raise
         await asyncio.sleep(BIND_RETRY_S)
 
 
 async def run(settings: DistributionDocument, folder: str, make: type[RelayProcess] = RelayProcess) -> None:
-    """Serves until SIGTERM or SIGINT. Stores files in `folder`; stores none if `folder` is empty."""
+    """Serves until SIGTERM or SIGINT. `folder`: for files; empty for none."""
     loop = asyncio.get_running_loop()
     until = loop.create_future()
     for number in (signal.SIGTERM, signal.SIGINT):
