--- a/basalthoist/experiments/cluster/relay.py
+++ b/basalthoist/experiments/cluster/relay.py
@@ -1,7 +1,8 @@
-"""Every directed link between two processes, and from each to discovery, with what can go wrong on it.
+"""Directed links between processes, and from each process to discovery, with fault injection on each.
 
-For each ordered pair there is one socket. The first of the pair knows the second by its address; what comes
-there goes on from the socket of the opposite pair, so that the second sees it where it knows the first.
+Each ordered pair of nodes has one UDP socket, whose address the first node uses for the second. A datagram
+received there is sent on from the socket of the opposite pair, so that the second node sees it come from the
+address that it uses for the first.
 """
 
 import asyncio
@@ -11,26 +12,26 @@
 Address = tuple[str, int]
 
 
-class Way:
-    """One direction. Faults count how many of the timeline's events ask for them."""
+class Link:
+    """One direction. Each fault holds a count or a list, as several events of a timeline may overlap."""
 
     def __init__(self, rng: Random) -> None:
-        self.rng, self.cut, self.stalled, self.late_ms = rng, 0, 0, []
+        self.rng, self.cut, self.stalled, self.delays_ms = rng, 0, 0, []
         self.lose, self.double, self.corrupt = [], [], []
         self.waiting: list[bytes] = []
         self.passed = 0
 
-    def take(self, data: bytes, deliver) -> None:
-        if self.cut or any(self.rng.random() < part for part in self.lose):
+    def forward(self, data: bytes, deliver) -> None:
+        if self.cut or any(self.rng.random() < ratio for ratio in self.lose):
             return
         if self.stalled:
             self.waiting.append(data)
             return
-        if any(self.rng.random() < part for part in self.corrupt):
+        if any(self.rng.random() < ratio for ratio in self.corrupt):
             at = self.rng.randrange(len(data))
             data = data[:at] + bytes([data[at] ^ 1 << self.rng.randrange(8)]) + data[at + 1 :]
-        for _ in range(1 + any(self.rng.random() < part for part in self.double)):
-            wait = sum(self.rng.uniform(0, ms) for ms in self.late_ms) / 1000
+        for _ in range(1 + any(self.rng.random() < ratio for ratio in self.double)):
+            wait = sum(self.rng.uniform(0, ms) for ms in self.delays_ms) / 1000
             if wait:
                 asyncio.get_running_loop().call_later(wait, deliver, data)
             else:
@@ -43,7 +44,7 @@
             deliver(data)
 
 
-class End(asyncio.DatagramProtocol):
+class LinkSocket(asyncio.DatagramProtocol):
     def __init__(self, mesh: "Mesh", pair: tuple[int, int]) -> None:
         self.mesh, self.pair, self.transport = mesh, pair, None
 
@@ -51,67 +52,67 @@
         self.transport = transport
 
     def datagram_received(self, data: bytes, sender: tuple) -> None:
-        one, other = self.pair
-        if sender[:2] == self.mesh.nodes[one]:
-            self.mesh.ways[self.pair].take(data, self.mesh.deliverer(one, other))
+        source, destination = self.pair
+        if sender[:2] == self.mesh.nodes[source]:
+            self.mesh.links[self.pair].forward(data, self.mesh.deliverer(source, destination))
 
 
 class Mesh:
-    """`nodes`: where each process listens for the fleet's words."""
+    """All links between nodes. `nodes`: the address at which each process listens for fleet datagrams."""
 
     def __init__(self, nodes: list[Address], rng: Random) -> None:
         self.nodes, count = nodes, len(nodes)
         self.pairs = [(i, j) for i in range(count) for j in range(count) if i != j]
-        self.ways = {pair: Way(rng) for pair in self.pairs}
-        self.ends: dict[tuple[int, int], End] = {}
-        self.doors: list[Door] = []
+        self.links = {pair: Link(rng) for pair in self.pairs}
+        self.sockets: dict[tuple[int, int], LinkSocket] = {}
+        self.tcp_links: list[TcpLink] = []
 
     async def open(self) -> None:
         loop = asyncio.get_running_loop()
         for pair in self.pairs:
-            _, self.ends[pair] = await loop.create_datagram_endpoint(
-                lambda pair=pair: End(self, pair), local_addr=("127.0.0.1", 0)
+            _, self.sockets[pair] = await loop.create_datagram_endpoint(
+                lambda pair=pair: LinkSocket(self, pair), local_addr=("127.0.0.1", 0)
             )
 
-    def address(self, one: int, other: int) -> str:
-        """Where the first finds the second."""
-        if one == other:
-            return "{}:{}".format(*self.nodes[one])
-        return "{}:{}".format(*self.ends[one, other].transport.get_extra_info("sockname")[:2])
+    def address(self, source: int, destination: int) -> str:
+        """Returns the address that the first node uses for the second."""
+        if source == destination:
+            return "{}:{}".format(*self.nodes[source])
+        return "{}:{}".format(*self.sockets[source, destination].transport.get_extra_info("sockname")[:2])
 
-    def deliverer(self, one: int, other: int):
+    def deliverer(self, source: int, destination: int):
         def deliver(data: bytes) -> None:
-            transport = self.ends[other, one].transport
+            transport = self.sockets[destination, source].transport
             if not transport.is_closing():
-                transport.sendto(data, self.nodes[other])
+                transport.sendto(data, self.nodes[destination])
 
         return deliver
 
     def release(self, pair: tuple[int, int]) -> None:
-        if not self.ways[pair].stalled:
-            self.ways[pair].release(self.deliverer(*pair))
+        if not self.links[pair].stalled:
+            self.links[pair].release(self.deliverer(*pair))
 
-    async def door(self, target: Address) -> "Door":
-        """A way to discovery for one process."""
-        door = Door(target)
-        await door.open()
-        self.doors.append(door)
-        return door
+    async def open_tcp_link(self, target: Address) -> "TcpLink":
+        """Opens a link to discovery for one process."""
+        tcp_link = TcpLink(target)
+        await tcp_link.open()
+        self.tcp_links.append(tcp_link)
+        return tcp_link
 
     def close(self) -> None:
-        for end in self.ends.values():
-            end.transport.close()
-        for door in self.doors:
-            door.close()
+        for socket in self.sockets.values():
+            socket.transport.close()
+        for tcp_link in self.tcp_links:
+            tcp_link.close()
 
 
-class Door:
-    """TCP to `target`; while it is cut nothing passes, silently, and no new connection is answered."""
+class TcpLink:
+    """Forwards TCP to `target`. While cut it forwards nothing, serves no new connection and closes none."""
 
     def __init__(self, target: Address) -> None:
         self.target, self.cut, self.server, self.writers = target, 0, None, set()
-        self.whole = asyncio.Event()
-        self.whole.set()
+        self.connected = asyncio.Event()
+        self.connected.set()
 
     async def open(self) -> None:
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
@@ -119,7 +120,7 @@
 
     async def serve(self, reader, writer) -> None:
         with contextlib.suppress(OSError, asyncio.CancelledError):
-            await self.whole.wait()
+            await self.connected.wait()
             theirs, ours = await asyncio.open_connection(*self.target)
             self.writers |= {writer, ours}
             await asyncio.gather(self.pass_on(reader, ours), self.pass_on(theirs, writer))
@@ -127,13 +128,13 @@
     async def pass_on(self, reader, writer) -> None:
         with contextlib.suppress(OSError):
             while data := await reader.read(65536):
-                await self.whole.wait()
+                await self.connected.wait()
                 writer.write(data)
             writer.close()
 
     def set_cut(self, more: int) -> None:
         self.cut += more
-        (self.whole.clear if self.cut else self.whole.set)()
+        (self.connected.clear if self.cut else self.connected.set)()
 
     def reset(self) -> None:
         for writer in self.writers:
--- a/basalthoist/experiments/cluster/timeline.py
+++ b/basalthoist/experiments/cluster/timeline.py
@@ -1,4 +1,4 @@
-"""Faults as data: what happens to whom, from when, for how long; read and checked here. In seconds."""
+"""Timelines: which fault hits which nodes, from when and for how long. Times are in seconds."""
 
 from pathlib import Path
 from random import Random
@@ -10,23 +10,26 @@
 
 Positive = Annotated[float, msgspec.Meta(gt=0)]
 NotNegative = Annotated[float, msgspec.Meta(ge=0)]
-Part = Annotated[float, msgspec.Meta(ge=0, le=1)]
+Ratio = Annotated[float, msgspec.Meta(ge=0, le=1)]
 LINK = ("cut", "one_way", "stall", "delay", "lose", "double", "corrupt")
 PROCESS = ("kill", "freeze")
 Kind = Literal["cut", "one_way", "stall", "delay", "lose", "double", "corrupt", "kill", "freeze", "discovery",
                "fails", "hot"]  # fmt: skip
 Folder = Literal["kept", "lost", "old"]
-Lie = Literal["", "forgets", "torn", "no_space", "bad_write", "bad_read", "flip", "slow"]
+DiskFault = Literal["", "forgets", "torn", "no_space", "bad_write", "bad_read", "flip", "slow"]
 
 
 class Event(msgspec.Struct, forbid_unknown_fields=True):
-    """`who`: nodes by number, or "author". A link fault lies between them and `others`, or all others.
+    """A fault of the nodes `who`, by number or "author" for the leader.
 
-    cut: nothing passes either way; one_way: nothing passes from `who`; stall: held back, then all let go;
-    delay: up to `ms` later, by rng, so also out of order; lose, double, corrupt: a `part` of all;
-    kill: SIGKILL, and a new start at the end, with its folder kept, lost or as it was at its start before;
-    freeze: SIGSTOP to SIGCONT; discovery: cut off from it; fails: `backend` answers 500 to `who`;
-    hot: `times` as many requests come to `who`.
+    Link faults apply between `who` and `others`, or all other nodes where `others` is empty:
+    cut: nothing passes in either direction; one_way: nothing passes from `who`; stall: datagrams are queued
+    and sent at the end; delay: random, up to `ms`, so also out of order; lose, double, corrupt: the ratio
+    `part` of the datagrams.
+
+    kill: SIGKILL, and a start at the end with the folder as it is, empty ("lost") or as it was at the
+    previous start ("old"); freeze: SIGSTOP to SIGCONT; discovery: no link to discovery; fails: `backend`
+    answers 500 to `who`; hot: `who` get `times` as many requests.
     """
 
     kind: Kind
@@ -34,7 +37,7 @@
     for_s: Positive = 2.0
     who: list[int | Literal["author"]] = []
     others: list[int] = []
-    part: Part = 0.3
+    part: Ratio = 0.3
     ms: Positive = 50.0
     folder: Folder = "kept"
     backend: int = 0
@@ -42,18 +45,18 @@
 
 
 class Machine(msgspec.Struct, forbid_unknown_fields=True):
-    """What of a node's machine lies: its disk, its clock's rate (1.0005: half a thousandth fast) or hand."""
+    """Simulated faults of a node's disk and clocks. `rate` 1.0005: clocks run fast by half a thousandth."""
 
     node: int
-    disk: Lie = ""
+    disk: DiskFault = ""
     rate: Annotated[float, msgspec.Meta(gt=0.5, lt=2)] = 1.0
-    wall_s: float = 0.0  # the wall clock is stepped by so much, every two seconds, there and back
+    wall_s: float = 0.0  # every two seconds the wall clock steps forward by this, or back
 
 
 class Ban(msgspec.Struct, forbid_unknown_fields=True):
     at_s: NotNegative
     backend: int
-    node: int = 0  # at whose door
+    node: int = 0  # whose admin interface gets the call
     on: bool = True
 
 
@@ -74,11 +77,11 @@
     when_stale: Literal["stand_by", "serve"] = "stand_by"
     sick_from: int = 0
     sick_s: Positive = 20.0
-    limit: NotNegative = 0.0  # requests a second over the fleet; 0: none
+    limit: NotNegative = 0.0  # requests a second of the whole fleet; 0: no limit
     burst: NotNegative = 10.0
     grant_s: Positive = 0.5
-    sure_part: Part = 0.5
-    grace_ms: NotNegative = 100.0  # an exchange that was sent just before
+    sure_part: Ratio = 0.5
+    grace_ms: NotNegative = 100.0  # for attempts sent just before a ban
     bans: list[Ban] = []
     events: list[Event] = []
     machines: list[Machine] = []
@@ -92,12 +95,19 @@
                 raise ValueError(f'events[{number}].who: expected nodes 0 to {self.nodes - 1} or "author"')
         for number, machine in enumerate(self.machines):
             if not 0 <= machine.node < self.nodes:
-                raise ValueError(f"machines[{number}].node: expected 0 to {self.nodes - 1}")
+                raise ValueError(
+                    f"machines[{number}].node: expected 0 to {self.nodes - 1}, got {machine.node}"
+                )
             if abs(machine.rate - 1) > self.drift + 1e-9:
-                raise ValueError(f"machines[{number}].rate: expected within drift, {self.drift}, of 1")
+                raise ValueError(
+                    f"machines[{number}].rate: expected 1 within drift {self.drift}, got {machine.rate}"
+                )
         for number, ban in enumerate(self.bans):
             if not 0 <= ban.backend < self.backends or not 0 <= ban.node < self.nodes:
-                raise ValueError(f"bans[{number}]: expected a backend and a node that there are")
+                raise ValueError(
+                    f"bans[{number}]: expected backend 0 to {self.backends - 1}, node 0 to {self.nodes - 1}, "
+                    f"got backend {ban.backend}, node {ban.node}"
+                )
 
 
 def read(path: str | Path) -> Timeline:
@@ -105,9 +115,10 @@
 
 
 def drawn(seed: int, nodes: int = 0, length_s: float = 12.0) -> Timeline:
-    """A timeline by rng: two to five faults that overlap, some on the author, and calls between them.
+    """Generates a timeline from a seed: two to five faults, which may overlap, and calls between them.
 
-    `nodes` 0: five to nine, by rng too."""
+    `nodes` 0: five to nine, random as well.
+    """
     rng = Random(seed)
     nodes = nodes or rng.choice((5, 5, 6, 7, 9))
     events, bans = [], []
@@ -116,19 +127,19 @@
         who = ["author"] if rng.random() < 0.4 else [rng.randrange(nodes)]
         if kind in ("cut", "delay", "lose", "fails") and rng.random() < 0.5:
             who = sorted(rng.sample(range(nodes), rng.randint(1, nodes // 2)))
-        at, lasts = rng.uniform(2.5, length_s - 4), rng.choice((0.4, 1.0, 2.5, 4.0))
+        at, duration_s = rng.uniform(2.5, length_s - 4), rng.choice((0.4, 1.0, 2.5, 4.0))
         folder = rng.choice(("kept", "kept", "lost", "old"))
-        events.append(Event(kind, round(at, 2), lasts, who, [], rng.choice((0.1, 0.3)),
+        events.append(Event(kind, round(at, 2), duration_s, who, [], rng.choice((0.1, 0.3)),
                             rng.choice((30.0, 300.0)), folder, 3))  # fmt: skip
-    on: set[int] = set()
+    banned: set[int] = set()
     for number in range(rng.randint(3, 6)):
-        backend = rng.randrange(3)  # one is never banned
+        backend = rng.randrange(3)  # of 4: one is never banned
         at = round(2.5 + (length_s - 5) * number / 6, 2)
-        bans.append(Ban(at, backend, rng.randrange(nodes), backend not in on))
-        on ^= {backend}
-    lies = ("", "", "forgets", "torn", "no_space", "bad_write", "bad_read", "flip", "slow")
+        bans.append(Ban(at, backend, rng.randrange(nodes), backend not in banned))
+        banned ^= {backend}
+    disk_faults = ("", "", "forgets", "torn", "no_space", "bad_write", "bad_read", "flip", "slow")
     clocks = [(rng.choice((0.999, 1.0, 1.001)), rng.choice((0.0, 0.0, 7200.0))) for _ in range(nodes)]
-    machines = [Machine(n, rng.choice(lies), *clock) for n, clock in enumerate(clocks)]
+    machines = [Machine(n, rng.choice(disk_faults), *clock) for n, clock in enumerate(clocks)]
     voters = nodes if nodes % 2 else nodes - 1
     return Timeline("drawn", seed, nodes, voters, length_s=length_s, bans=bans, events=events,
                     machines=machines, sick_from=rng.choice((0, 2)), sick_s=2.0,
--- a/basalthoist/experiments/distributed/hollow.py
+++ b/basalthoist/experiments/distributed/hollow.py
@@ -1,8 +1,9 @@
 """A process with many hollow nodes: `python -m basalthoist.experiments.distributed.hollow`.
 
-Each is the program's own `RelayLink` with its subscriber, connection and file; nothing is proxied, but
-tenants are asked for as requests would. Orders are lines of JSON on standard input, one answer each on
-standard output; where the input ends, so does the process, so that none outlives who started it.
+Each hollow node runs the program's own `RelayLink` with its subscriber, connection and file. No request is
+proxied, but tenants are looked up as requests would. Orders are lines of JSON on standard input, with one
+answer each on standard output. The process exits at the end of its input, so that it does not outlive the
+process that started it.
 """
 
 import asyncio
@@ -23,128 +24,133 @@
 from basalthoist.net.runtime.disk_worker import DiskWorker
 from basalthoist.net.runtime.timers import SECOND, Timers, boot_time_now
 
-SLOTS, SLOT = 10, SECOND // 100  # each node has its turn in one of ten, as its own timer would give it
-EVERY_S = 0.05  # the tool's own lateness is looked at
-NEW = 0.002  # part of looks that are for a tenant that has not come yet
+# Each node ticks in one of ten slots, every 100 ms as with a timer of its own.
+SLOTS, SLOT_INTERVAL = 10, SECOND // 100
+LATENESS_SAMPLE_INTERVAL_S = 0.05
+NEW_TENANT_RATIO = 0.002  # of lookups: for any tenant, most likely new to the node
 
 
-class Hollow(RelayLink):
-    def __init__(self, worker: "Worker", told: DistributionDocument, made: dict, folder: str) -> None:
-        self.worker, self.name, self.region, self.made = worker, made["name"], told.region, made
-        self.reached, self.stalled = None, False  # the latest version acted on
-        self.rng = Random(made["name"])
-        self.names = [f"t{self.rng.randrange(made['all']):06}" for _ in range(made["tenants"])]
-        self.began_at, self.first_at, self.proven_at = time.monotonic(), 0.0, 0.0
-        super().__init__(worker.loop, told, made["name"], folder, worker.timers, worker.log, worker.aside)
+class HollowNode(RelayLink):
+    def __init__(self, worker: "Worker", document: DistributionDocument, spec: dict, folder: str) -> None:
+        self.worker, self.name, self.region, self.spec = worker, spec["name"], document.region, spec
+        self.acted_version, self.is_cut_off = None, False
+        self.rng = Random(spec["name"])
+        self.names = [f"t{self.rng.randrange(spec['all']):06}" for _ in range(spec["tenants"])]
+        self.started_at, self.first_entries_at, self.confirmed_at = time.monotonic(), 0.0, 0.0
+        super().__init__(
+            worker.loop, document, spec["name"], folder, worker.timers, worker.log, worker.disk_worker
+        )
 
     def connect(self, address: str) -> None:
-        self.stalled = False
-        if not self.worker.reaches(self.region, address):
-            self.stalled = True
-            return self.close()  # nobody answers, and nothing says so
+        self.is_cut_off = False
+        if not self.worker.can_reach(self.region, address):
+            self.is_cut_off = True
+            return self.close()  # as for an address that does not answer
         super().connect(address)
 
     def send(self, message) -> None:
-        if not self.stalled:
+        if not self.is_cut_off:
             super().send(message)
 
     def sever(self) -> None:
-        """Whether its relay is within reach has changed."""
-        stalled = not self.worker.reaches(self.region, self.subscriber.connection.address)
-        if stalled != self.stalled and self.stream is not None and self.stream.transport is not None:
-            self.stalled = stalled
-            (self.stream.transport.pause_reading if stalled else self.stream.transport.resume_reading)()
+        """Stops or resumes reading, where the partition has changed whether the relay can be reached."""
+        is_cut_off = not self.worker.can_reach(self.region, self.subscriber.connection.address)
+        if is_cut_off != self.is_cut_off and self.stream is not None and self.stream.transport is not None:
+            self.is_cut_off = is_cut_off
+            (self.stream.transport.pause_reading if is_cut_off else self.stream.transport.resume_reading)()
 
     def apply_entries(self, entries, version: int) -> None:
         super().apply_entries(entries, version)
-        if self.reached is not None:
-            self.worker.reached(self.reached, version)
+        if self.acted_version is not None:
+            self.worker.record_versions(self.acted_version, version)
         else:
-            self.first_at = time.monotonic()
-        self.reached = version
+            self.first_entries_at = time.monotonic()
+        self.acted_version = version
 
     def look(self) -> None:
-        if not self.proven_at and self.subscriber.may_forward_requests(boot_time_now()):
-            self.proven_at = time.monotonic()
+        if not self.confirmed_at and self.subscriber.may_forward_requests(boot_time_now()):
+            self.confirmed_at = time.monotonic()
 
-    def turn(self) -> None:
+    def run_slot(self) -> None:
         self.tick()
-        whose, all_there = self.rng, self.made["all"]
-        name = f"t{whose.randrange(all_there):06}" if whose.random() < NEW else whose.choice(self.names)
+        rng, count = self.rng, self.spec["all"]
+        name = f"t{rng.randrange(count):06}" if rng.random() < NEW_TENANT_RATIO else rng.choice(self.names)
         self.subscriber.tenants.look_up(boot_time_now(), name)
 
 
 class Worker:
     def __init__(self, loop) -> None:
-        self.loop, self.nodes, self.slot, self.lines = loop, {}, 0, 0
-        self.timers, self.aside = Timers(loop, self.log), DiskWorker(loop)
+        self.loop, self.nodes, self.slot_index, self.lines = loop, {}, 0, 0
+        self.timers, self.disk_worker = Timers(loop, self.log), DiskWorker(loop)
         self.times: dict[int, array] = {}
-        self.regions: dict[str, str] = {}  # of relays, by address
-        self.cut, self.late, self.due = "", [], 0.0
-        self.told, self.folder, self.empty_kb = {}, Path("."), 0
-        self.turns: list[list[Hollow]] = [[] for _ in range(SLOTS)]
-        self.timers.every(SLOT, self.turn)
-        self.timers.every(SECOND, self.keep)
-        self.watch()
+        self.regions: dict[str, str] = {}  # region by relay address
+        self.cut_region, self.lateness_ms, self.due = "", [], 0.0
+        self.document, self.folder, self.empty_kb = {}, Path("."), 0
+        self.slots: list[list[HollowNode]] = [[] for _ in range(SLOTS)]
+        self.timers.every(SLOT_INTERVAL, self.run_slot)
+        self.timers.every(SECOND, self.save_all)
+        self.sample_lateness()
 
     def log(self, line: str) -> None:
         self.lines += 1
 
-    def watch(self) -> None:
+    def sample_lateness(self) -> None:
         at = time.monotonic()
         if self.due:
-            self.late.append(max(at - self.due, 0.0) * 1000)
-        self.due = at + EVERY_S
-        self.loop.call_later(EVERY_S, self.watch)
+            self.lateness_ms.append(max(at - self.due, 0.0) * 1000)
+        self.due = at + LATENESS_SAMPLE_INTERVAL_S
+        self.loop.call_later(LATENESS_SAMPLE_INTERVAL_S, self.sample_lateness)
 
-    def turn(self) -> None:
-        self.slot = (self.slot + 1) % SLOTS
-        for node in self.turns[self.slot]:
-            node.turn()
+    def run_slot(self) -> None:
+        self.slot_index = (self.slot_index + 1) % SLOTS
+        for node in self.slots[self.slot_index]:
+            node.run_slot()
 
-    def keep(self) -> None:
+    def save_all(self) -> None:
         for node in self.nodes.values():
             node.save()
 
-    def reaches(self, region: str, address: str) -> bool:
-        return not self.cut or (self.regions.get(address, region) == self.cut) == (region == self.cut)
+    def can_reach(self, region: str, address: str) -> bool:
+        return not self.cut_region or (self.regions.get(address, region) == self.cut_region) == (
+            region == self.cut_region
+        )
 
-    def reached(self, before: int, version: int) -> None:
+    def record_versions(self, before: int, version: int) -> None:
         at = time.monotonic()
         for number in range(before + 1, version + 1):
             self.times.setdefault(number, array("d")).append(at)
 
-    # Orders.
+    # Orders: the methods named by `do`.
 
     def start(self, order: dict) -> dict:
-        self.told, self.folder, self.regions = order["told"], Path(order["folder"]), order["regions"]
-        for made in order["nodes"]:
-            self.begin_node(made)
+        self.document, self.folder, self.regions = order["told"], Path(order["folder"]), order["regions"]
+        for spec in order["nodes"]:
+            self.start_node(spec)
         return {"held": len(self.nodes)}
 
-    def begin_node(self, made: dict) -> None:
-        own = {key: made[key] for key in ("region", "scopes", "seeds")}
-        told = msgspec.convert(self.told | own, DistributionDocument)
-        folder = self.folder / made["name"]
+    def start_node(self, spec: dict) -> None:
+        own = {key: spec[key] for key in ("region", "scopes", "seeds")}
+        document = msgspec.convert(self.document | own, DistributionDocument)
+        folder = self.folder / spec["name"]
         folder.mkdir(parents=True, exist_ok=True)
-        node = self.nodes[made["name"]] = Hollow(self, told, made, str(folder))
-        min(self.turns, key=len).append(node)
+        node = self.nodes[spec["name"]] = HollowNode(self, document, spec, str(folder))
+        min(self.slots, key=len).append(node)
 
     def stop(self, order: dict) -> dict:
-        """At once, as by SIGKILL: nothing is said, the connection ends."""
+        """Stops nodes as SIGKILL would: without a message, the connection is closed."""
         names = [name for name in order["names"] if name in self.nodes]
         for name in names:
             node = self.nodes.pop(name)
-            for turn in self.turns:
-                if node in turn:
-                    turn.remove(node)
+            for slot in self.slots:
+                if node in slot:
+                    slot.remove(node)
             node.close()
         return {"stopped": names}
 
     def again(self, order: dict) -> dict:
-        """Stopped ones begin another life; with nothing, a torn file, or one of a time before."""
-        for made in order["nodes"]:
-            path = self.folder / made["name"] / "distribution.msgpack"
+        """Starts stopped nodes again: without a file, with a torn or an earlier one, or with their own."""
+        for spec in order["nodes"]:
+            path = self.folder / spec["name"] / "distribution.msgpack"
             if order["file"] == "nothing":
                 path.unlink(missing_ok=True)
             elif order["file"] == "torn" and path.exists():
@@ -152,11 +158,11 @@
                 path.write_bytes(data[: len(data) // 2])
             elif order["file"] == "reverted" and path.with_suffix(".old").exists():
                 path.write_bytes(path.with_suffix(".old").read_bytes())
-            self.begin_node(made)
+            self.start_node(spec)
         return {}
 
     def copy(self, order: dict) -> dict:
-        """Of some nodes' files, to be put back later."""
+        """Copies the files of some nodes, for `again` to restore."""
         for name in order["names"]:
             path = self.folder / name / "distribution.msgpack"
             if path.exists():
@@ -164,37 +170,38 @@
         return {}
 
     def sever(self, order: dict) -> dict:
-        self.cut = order["region"]
+        self.cut_region = order["region"]
         for node in self.nodes.values():
             node.sever()
         return {}
 
     def since(self, order: dict) -> dict:
-        """Since they began: when each of these had its entries, and when it could act on them, in seconds."""
+        """Returns the seconds from the start of each node to its first entries and to a confirmed view."""
         nodes = [self.nodes[name] for name in order["names"] if name in self.nodes]
-        return {"first": [node.first_at - node.began_at for node in nodes if node.first_at],
-                "able": [node.proven_at - node.began_at for node in nodes if node.proven_at],
+        return {"first": [node.first_entries_at - node.started_at for node in nodes if node.first_entries_at],
+                "able": [node.confirmed_at - node.started_at for node in nodes if node.confirmed_at],
                 "in": [node.traffic()[0] for node in nodes]}  # fmt: skip
 
     def freeze(self, order: dict) -> dict:
-        """What stands by now is no work for the collector: a real node's process holds one node's objects."""
+        """Excludes present objects from garbage collection: a real process holds those of one node only."""
         gc.collect()
         gc.freeze()
         self.empty_kb = memory_kb()
         return {"memory_kb": self.empty_kb}
 
     def begin(self, order: dict) -> dict:
-        self.late.clear()
+        self.lateness_ms.clear()
         self.times.clear()
         return self.read(order)
 
     def read(self, order: dict) -> dict:
         usage = resource.getrusage(resource.RUSAGE_SELF)
-        late = sorted(self.late) or [0.0]
+        lateness_ms = sorted(self.lateness_ms) or [0.0]
         traffic = [node.traffic() for node in self.nodes.values()]
         return {"at": time.monotonic(), "cpu_s": usage.ru_utime + usage.ru_stime, "memory_kb": memory_kb(),
-                "late_p99_ms": late[int(0.99 * (len(late) - 1))], "late_most_ms": late[-1],
-                "in": [came for came, _ in traffic], "out": [went for _, went in traffic],
+                "late_p99_ms": lateness_ms[int(0.99 * (len(lateness_ms) - 1))],
+                "late_most_ms": lateness_ms[-1],
+                "in": [received for received, _ in traffic], "out": [sent for _, sent in traffic],
                 "entries": [len(n.subscriber.catalogue.entries) for n in self.nodes.values()],
                 "tenants": [len(n.subscriber.tenants.cached) for n in self.nodes.values()]}  # fmt: skip
 
@@ -211,16 +218,16 @@
                 "oldest_s": min(max(ages, default=0) / SECOND, 1e6)}  # fmt: skip
 
     def in_force(self, order: dict) -> dict:
-        """When each version was acted on, node by node."""
-        return {"times": {number: list(found) for number, found in self.times.items()}}
+        """Returns for each version the times at which nodes acted on it."""
+        return {"times": {number: list(times) for number, times in self.times.items()}}
 
-    def obey(self, line: bytes) -> bytes:
+    def execute(self, line: bytes) -> bytes:
         order = json.loads(line)
         try:
-            said = getattr(self, order["do"])(order)
-        except Exception as wrong:
-            said = {"wrong": repr(wrong)}
-        return json.dumps(said).encode() + b"\n"
+            answer = getattr(self, order["do"])(order)
+        except Exception as error:
+            answer = {"wrong": repr(error)}
+        return json.dumps(answer).encode() + b"\n"
 
 
 def memory_kb() -> int:
@@ -233,7 +240,7 @@
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     worker = Worker(loop)
     while line := await reader.readline():
-        sys.stdout.buffer.write(worker.obey(line))
+        sys.stdout.buffer.write(worker.execute(line))
         sys.stdout.buffer.flush()
 
 
@@ -243,7 +250,7 @@
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(run())
         sys.stdout.flush()
-        os._exit(0)  # hundreds of nodes, none of which has anything to part with
+        os._exit(0)  # skips the teardown of hundreds of nodes, which have nothing to clean up
 
 
 if __name__ == "__main__":
--- a/basalthoist/experiments/distributed/sizes.py
+++ b/basalthoist/experiments/distributed/sizes.py
@@ -1,4 +1,4 @@
-"""What is played: the catalogue and who subscribes to what. Everything follows from a seed."""
+"""Generates the catalogue, its changes and the nodes' subscriptions from a seed."""
 
 from random import Random
 from typing import NamedTuple
@@ -19,10 +19,10 @@
     tenants: int = 200_000
     backends: int = 32_000
 
-    def part(self, share: float) -> "Size":
-        """Of the catalogue, so many hundredths."""
-        whole = (self.services, self.routes, self.tenants, self.backends)
-        services, routes, tenants, backends = (max(int(count * share / 100), 10) for count in whole)
+    def part(self, percent: float) -> "Size":
+        """Returns this size with a catalogue of so many percent."""
+        counts = (self.services, self.routes, self.tenants, self.backends)
+        services, routes, tenants, backends = (max(int(count * percent / 100), 10) for count in counts)
         return self._replace(services=services, routes=routes, tenants=tenants, backends=backends)
 
 
@@ -49,16 +49,16 @@
 
 
 def catalogue(size: Size, relays: dict[str, tuple[str, str]], rng: Random) -> list[Entry]:
-    """`relays`: names to address and region."""
-    found = [Entry("relay", name, "", {"address": at, "region": r}) for name, (at, r) in relays.items()]
-    found += [Entry("service", f"s{number:04}", f"s{number:04}") for number in range(size.services)]
-    found += [route(number, size, rng) for number in range(size.routes)]
-    found += [backends(number, size, rng) for number in range(size.services)]
-    return found + [tenant(number, rng) for number in range(size.tenants)]
+    """Returns all entries. `relays`: names to address and region."""
+    entries = [Entry("relay", name, "", {"address": at, "region": r}) for name, (at, r) in relays.items()]
+    entries += [Entry("service", f"s{number:04}", f"s{number:04}") for number in range(size.services)]
+    entries += [route(number, size, rng) for number in range(size.routes)]
+    entries += [backends(number, size, rng) for number in range(size.services)]
+    return entries + [tenant(number, rng) for number in range(size.tenants)]
 
 
 def change(number: int, size: Size, rng: Random) -> Entry:
-    """One of a day's: a quota, a route, a set of backends, a verdict, or a tenant that is new."""
+    """Returns a random change: a quota, a route, a set of backends, a verdict, or a new tenant."""
     kind = rng.random()
     if kind < 0.4:
         return tenant(rng.randrange(size.tenants), rng)
@@ -73,7 +73,7 @@
 
 
 def node(number: int, size: Size, seeds: dict[str, list[str]], rng: Random) -> dict:
-    """It fronts a few services; tens to hundreds of tenants come to it. Its seeds are its region's relays."""
+    """Returns a node with a few services and tens to hundreds of tenants, seeded by its region's relays."""
     scopes = [f"s{rng.randrange(size.services):04}" for _ in range(rng.randint(1, 6))]
     count = min(int(10 ** rng.uniform(1.3, 2.6)), size.tenants)
     return {"name": f"n{number:05}", "region": region_of(number), "scopes": sorted(set(scopes)),
--- a/basalthoist/experiments/soak/broken.py
+++ b/basalthoist/experiments/soak/broken.py
@@ -1,21 +1,21 @@
 """`python -m basalthoist.experiments.soak.broken NAME`: the program with one rule broken on purpose.
 
-The soak has to find each of them: that shows that it looks.
+The soak test has to detect each variant, which shows that its checks work.
 """
 
 import sys
 from collections.abc import Callable
 
 
-def replace(owner: type, name: str, made: Callable) -> None:
+def replace_method(owner: type, name: str, replacement: Callable) -> None:
     """Replaces a method. Raises AttributeError where the owner has none of that name."""
-    # Guards against a renamed method: its variant would break nothing and prove nothing.
+    # Where the method has been renamed, setting it would break no rule, and the variant would prove nothing.
     getattr(owner, name)
-    setattr(owner, name, made)
+    setattr(owner, name, replacement)
 
 
 def forgets_requests() -> None:
-    """One request in forty is read and never begun."""
+    """Drops one request in forty after reading it."""
     from basalthoist.net.clients.front_end import FrontEnd
 
     accept_request, count = FrontEnd.accept_request, [0]
@@ -25,11 +25,11 @@
         if count[0] % 40 or message.target == b"/ready":
             accept_request(self, client, message)
 
-    replace(FrontEnd, "accept_request", forgetful)
+    replace_method(FrontEnd, "accept_request", forgetful)
 
 
 def closes_unread() -> None:
-    """At SIGTERM every connection is closed, whatever has come on it."""
+    """Closes every connection at SIGTERM, with requests on it unread."""
     from basalthoist.net.clients.front_end import FrontEnd
 
     begin_shutdown = FrontEnd.begin_shutdown
@@ -39,52 +39,54 @@
         for client in list(self.clients):
             client.transport.abort()
 
-    replace(FrontEnd, "begin_shutdown", abrupt)
+    replace_method(FrontEnd, "begin_shutdown", abrupt)
 
 
 def keeps_connections() -> None:
-    """Connections stay in use up to the kill, and nothing is answered ahead of it."""
+    """Keeps connections in use until SIGKILL, and does not answer open requests before it."""
     from basalthoist.net.clients.http_connection import HttpClientConnection
     from basalthoist.net.lifecycle.shutdown import Shutdown
 
-    replace(HttpClientConnection, "is_last_response", lambda self: False)
-    replace(HttpClientConnection, "is_idle", lambda self: False)
-    replace(Shutdown, "stop_listening", lambda self: None)
-    replace(Shutdown, "answer_all", lambda self: None)
+    replace_method(HttpClientConnection, "is_last_response", lambda self: False)
+    replace_method(HttpClientConnection, "is_idle", lambda self: False)
+    replace_method(Shutdown, "stop_listening", lambda self: None)
+    replace_method(Shutdown, "answer_all", lambda self: None)
 
 
 def repeats() -> None:
-    """What may have run is sent again, whatever its route allows."""
+    """Retries requests that may have run, whatever the semantics of the route."""
     from basalthoist.decisions.retry import RetryPolicy
 
-    replace(RetryPolicy, "causes_no_duplicate", lambda self, request, attempts_before, backend, now: True)
+    replace_method(
+        RetryPolicy, "causes_no_duplicate", lambda self, request, attempts_before, backend, now: True
+    )
 
 
 def repeats_late() -> None:
-    """A deduplicated request is sent again until its time is over, whatever the window."""
+    """Retries deduplicated requests until their deadline, beyond the deduplication window."""
     from basalthoist.decisions.retry import RetryPolicy
 
-    replace(
+    replace_method(
         RetryPolicy, "dedup_time_left", lambda self, request, ran, now: int(request.route.is_deduplicated)
     )
 
 
 def refuses_what_ran() -> None:
-    """Whatever is given up is called harmless to try again."""
+    """Reports every failed request as safe to retry."""
     from basalthoist.decisions.retry import RetryPolicy
 
-    replace(RetryPolicy, "safe_retry_after", lambda self, request, now: 0)
+    replace_method(RetryPolicy, "safe_retry_after", lambda self, request, now: 0)
 
 
 def forgets_drains() -> None:
-    """A backend that drains is used as before."""
+    """Treats draining backends as healthy."""
     from basalthoist.net.discovery import translation
 
     translation.STATES["draining"] = "healthy"
 
 
 def gives_discovery_up() -> None:
-    """A watch with one heartbeat late is given up, and discovery called again much later."""
+    """Ends a watch whose heartbeat is late once (2.4 s), and polls discovery ten seconds later."""
     from basalthoist.net.discovery.polling import SECOND, PollSchedule
 
     limit = 24 * SECOND // 10
@@ -94,13 +96,17 @@
         on_watch_line(self, now)
         self.host.wake_at(now + limit)
 
-    replace(PollSchedule, "on_watch_line", impatient)
-    replace(PollSchedule, "silence_limit", lambda self: limit if self.is_watching else self.silence_timeout)
-    replace(PollSchedule, "schedule_poll", lambda self, now, delay: schedule_poll(self, now, 10 * SECOND))
+    replace_method(PollSchedule, "on_watch_line", impatient)
+    replace_method(
+        PollSchedule, "silence_limit", lambda self: limit if self.is_watching else self.silence_timeout
+    )
+    replace_method(
+        PollSchedule, "schedule_poll", lambda self, now, delay: schedule_poll(self, now, 10 * SECOND)
+    )
 
 
 def knows_no_cold() -> None:
-    """Whoever has started last is taken for warm, and gets what comes first."""
+    """Treats every backend as warmed up, and prefers the one that started last."""
     from basalthoist.decisions.balancer import Balancer
     from basalthoist.decisions.rotation import Rotation
 
@@ -111,8 +117,8 @@
         for backend in self.backends.values():
             backend.slow_start.warm_at = 0
 
-    replace(Balancer, "on_endpoint_list", all_warm)
-    replace(
+    replace_method(Balancer, "on_endpoint_list", all_warm)
+    replace_method(
         Rotation,
         "candidates",
         lambda self, now, request: sorted(candidates(self, now, request), key=lambda b: -(b.started or 0)),
@@ -120,11 +126,11 @@
 
 
 def tells_too_much() -> None:
-    """Backends are told of 0.3 s more than the client has."""
+    """Announces 0.3 s more to backends than the client has left."""
     from basalthoist.net.proxied_request import ProxiedRequest
 
     request_chunks = ProxiedRequest.request_chunks
-    replace(
+    replace_method(
         ProxiedRequest,
         "request_chunks",
         lambda self, attempt_number, until, extra_headers=b"": request_chunks(
@@ -134,23 +140,25 @@
 
 
 def sends_for_who_left() -> None:
-    """A client's leaving is not looked at."""
+    """Ignores that a client has disconnected."""
     from basalthoist.net.dispatcher import RequestDispatcher
 
-    replace(RequestDispatcher, "client_disconnected", lambda self, request: None)
-    replace(RequestDispatcher, "is_wanted", lambda self, request, attempt_number: True)
+    replace_method(RequestDispatcher, "client_disconnected", lambda self, request: None)
+    replace_method(RequestDispatcher, "is_wanted", lambda self, request, attempt_number: True)
 
 
 def answers_late() -> None:
-    """Given up 0.8 s after the client's time."""
+    """Gives up requests 0.8 s after the client's deadline."""
     from basalthoist.net.dispatcher import RequestDispatcher
 
     cap_deadline = RequestDispatcher.cap_deadline
-    replace(RequestDispatcher, "cap_deadline", lambda self, deadline: cap_deadline(self, deadline) + 8000)
+    replace_method(
+        RequestDispatcher, "cap_deadline", lambda self, deadline: cap_deadline(self, deadline) + 8000
+    )
 
 
 def sends_twice_at_once() -> None:
-    """Each attempt is made twice, at the same backend."""
+    """Sends each attempt twice to the same backend."""
     from basalthoist.net.dispatcher import RequestDispatcher
 
     send = RequestDispatcher.send
@@ -164,10 +172,10 @@
                 backend, lambda: request.request_chunks(1, until), timeout, lambda outcome, response: None
             )
 
-    replace(RequestDispatcher, "send", twice)
+    replace_method(RequestDispatcher, "send", twice)
 
 
-# Each with the rule that it breaks.
+# By name: the rule that the variant breaks, and the function that installs it.
 VARIANTS: dict[str, tuple[str, Callable[[], None]]] = {
     "forgets_requests": ("lost", forgets_requests),
     "closes_unread": ("lost", closes_unread),
--- a/basalthoist/experiments/soak/clients.py
+++ b/basalthoist/experiments/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of a play: each keeps a connection in use until the node closes it, up to the kill."""
+"""Clients of a run. Each uses a connection until the node closes it or is killed."""
 
 import asyncio
 import time
@@ -8,19 +8,22 @@
 from .record import Request
 
 ROUTES = ("read", "pay", "mark")
-NEW_CONNECTION = 0.1  # the part of requests that come on one
+RECONNECT_PROBABILITY = 0.1  # after each response
 
 
 class Client:
-    """`killed` is set when the node's process is killed, or nothing more is to be asked."""
+    """Sends requests one after the other. `killed` is set when the node is killed or the load ends."""
 
-    def __init__(self, plan: Plan, number: int, world, address: tuple[str, int], began: float) -> None:
-        self.plan, self.name, self.world, self.address, self.began = plan, f"c{number}", world, address, began
+    def __init__(
+        self, plan: Plan, number: int, surroundings, address: tuple[str, int], started_at: float
+    ) -> None:
+        self.plan, self.name, self.surroundings = plan, f"c{number}", surroundings
+        self.address, self.started_at = address, started_at
         self.rng, self.count = Random(f"{plan.seed} {number}"), 0
         self.killed = False
 
     async def run(self) -> None:
-        while not self.killed and time.monotonic() < self.began + self.plan.connects_s:
+        while not self.killed and time.monotonic() < self.started_at + self.plan.connects_until_s:
             try:
                 reader, writer = await asyncio.open_connection(*self.address)
             except OSError:
@@ -32,31 +35,31 @@
                 writer.transport.abort()
 
     async def use(self, reader, writer) -> None:
-        fresh = True
+        is_first_on_connection = True
         while not self.killed:
-            request = self.make(fresh)
-            writer.write(self.text(request))
-            stays = await self.wait(request, reader, writer)
-            if not stays:
+            request = self.new_request(is_first_on_connection)
+            writer.write(self.encode(request))
+            stays_open = await self.await_response(request, reader, writer)
+            if not stays_open:
                 return
-            # Once no new one can be had, clients use those that they have for as long as these stay open.
-            told = time.monotonic() >= self.began + self.plan.load_s
-            if self.rng.random() < NEW_CONNECTION and not told:
+            # New connections are soon impossible after SIGTERM, so clients keep the ones that they have.
+            is_terminating = time.monotonic() >= self.started_at + self.plan.load_s
+            if self.rng.random() < RECONNECT_PROBABILITY and not is_terminating:
                 return
-            fresh = False
+            is_first_on_connection = False
             await asyncio.sleep(self.rng.expovariate(1 / 0.01))
 
-    def make(self, fresh: bool) -> Request:
+    def new_request(self, is_first_on_connection: bool) -> Request:
         self.count += 1
         route = self.rng.choice(ROUTES)
         timeout_s = round(self.plan.deadline_s * self.rng.choice((0.5, 1.0, 1.0)), 3)
-        starved_s = self.world.starved_s()
+        processor_wait_s = self.surroundings.processor_wait_s()
         ident = f"{self.name}-{self.count}"
-        request = Request(ident, route, timeout_s, time.monotonic(), fresh, starved_s)
-        self.world.record.requests[request.ident] = request
+        request = Request(ident, route, timeout_s, time.monotonic(), is_first_on_connection, processor_wait_s)
+        self.surroundings.record.requests[request.ident] = request
         return request
 
-    def text(self, request: Request) -> bytes:
+    def encode(self, request: Request) -> bytes:
         method = "GET" if request.route == "read" else "POST"
         length = "" if request.route == "read" else "Content-Length: 0\r\n"
         return (
@@ -64,26 +67,26 @@
             f"Tenant: any\r\nRequest-Timeout-Ms: {int(request.timeout_s * 1000)}\r\n{length}\r\n"
         ).encode()
 
-    async def wait(self, request: Request, reader, writer) -> bool:
-        """Whether the connection stays."""
-        patience_s = request.timeout_s + 1.0
-        leaves = self.rng.random() < self.plan.leaving
-        if leaves:
-            patience_s = self.rng.uniform(0.0, 0.3)
+    async def await_response(self, request: Request, reader, writer) -> bool:
+        """Waits for the response, or disconnects early. Returns whether the connection stays open."""
+        wait_limit_s = request.timeout_s + 1.0
+        disconnects_early = self.rng.random() < self.plan.early_disconnect_ratio
+        if disconnects_early:
+            wait_limit_s = self.rng.uniform(0.0, 0.3)
         try:
-            stays = await asyncio.wait_for(self.answer(request, reader), patience_s)
+            stays_open = await asyncio.wait_for(self.read_response(request, reader), wait_limit_s)
         except TimeoutError:
-            if leaves:
+            if disconnects_early:
                 writer.transport.abort()
-                request.left_at = time.monotonic()
-            stays = False
+                request.disconnected_at = time.monotonic()
+            stays_open = False
         except (OSError, asyncio.IncompleteReadError):
-            stays = False
+            stays_open = False
         request.ended_at = time.monotonic()
-        request.killed, request.late_s = self.killed, self.world.late_s(request)
-        return stays
+        request.killed, request.late_s = self.killed, self.surroundings.late_s(request)
+        return stays_open
 
-    async def answer(self, request: Request, reader) -> bool:
+    async def read_response(self, request: Request, reader) -> bool:
         head = (await reader.readuntil(b"\r\n\r\n")).decode().lower().split("\r\n")
         length = next(int(line.split(":")[1]) for line in head if line.startswith("content-length:"))
         await reader.readexactly(length)
--- a/basalthoist/experiments/soak/plan.py
+++ b/basalthoist/experiments/soak/plan.py
@@ -1,4 +1,4 @@
-"""What happens in one play, drawn from its seed. Times are seconds since the clients began."""
+"""The plan of one run, generated from its seed. Times are in seconds since the clients started."""
 
 import errno
 from random import Random
@@ -8,27 +8,30 @@
 
 from .discovery import OUTAGES
 
-BACKEND_TROUBLES = ("hang", "reset", "error", "turn_away", "drain", "restart")
-NODE_TROUBLES = ("wall_clock", "accept", "connect", "socket", "short_io", "hold_up")
+BACKEND_FAULTS = ("hang", "reset", "error", "reject", "drain", "restart")
+NODE_FAULTS = ("wall_clock", "accept", "connect", "socket", "short_io", "delay_writes")
 SIGNALS = ("TERM", "HUP", "BAD_HUP")
 ERRORS = {
     "accept": (errno.ECONNABORTED, errno.ENFILE, errno.ENOBUFS, errno.EPROTO, errno.ENETDOWN),
     "connect": (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ETIMEDOUT),
     "socket": (errno.ENFILE, errno.ENOBUFS, errno.ENOMEM),
 }
-OUTAGE_PART = 1 / 3  # of the plays have an outage of discovery
-AFTER_OUTAGE_S = 1.0  # for which they go on beyond it, at the least
-KILL_AFTER_S = 0.7  # beyond the longest deadline: the protocol page
-NEW_CONNECTIONS_S = 0.4  # for which they go on coming after SIGTERM: the protocol page
+OUTAGE_PROBABILITY = 1 / 3  # that discovery fails in a run
+MIN_LOAD_AFTER_OUTAGE_S = 1.0
+# From the protocol documentation: SIGKILL comes so long after SIGTERM plus the longest deadline.
+KILL_MARGIN_S = 0.7
+# From the protocol documentation: clients open new connections for so long after SIGTERM.
+CONNECTS_AFTER_SIGTERM_S = 0.4
 
-Kind = Literal["hang", "reset", "error", "turn_away", "drain", "restart", "wall_clock", "accept", "connect",
-               "socket", "short_io", "hold_up", "outage"]  # fmt: skip
+Kind = Literal["hang", "reset", "error", "reject", "drain", "restart", "wall_clock", "accept", "connect",
+               "socket", "short_io", "delay_writes", "outage"]  # fmt: skip
 
 
 class Event(msgspec.Struct, frozen=True):
-    """`backend` is met from `at_s` for `for_s`; -1 for what meets the node or, as an outage, discovery.
+    """A fault from `at_s` on for `for_s`.
 
-    `value`: errno, bytes, milliseconds, or which of OUTAGES.
+    `backend`: the number of the backend, or -1 where the fault hits the node or (kind "outage") discovery.
+    `value`: by kind an errno, bytes, milliseconds, or an index into OUTAGES.
     """
 
     kind: Kind
@@ -40,25 +43,25 @@
 
 class Plan(msgspec.Struct, frozen=True):
     seed: int
-    deadline_s: float  # the longest
-    window_s: float  # for which repeats of a deduplicated request are known
-    grace_s: float  # of drains
+    deadline_s: float  # the longest of any request
+    window_s: float  # deduplication window
+    grace_s: float  # drain grace: new requests may arrive at a draining backend for so long
     backends: int
     clients: int
-    crowd: int  # clients that connect and say nothing
-    leaving: float  # the part of requests whose client leaves early
-    load_s: float  # from the clients' beginning to SIGTERM
+    idle_connections: int  # connections on which no request is sent
+    early_disconnect_ratio: float  # of all requests
+    load_s: float  # from the start of the clients to SIGTERM
     events: tuple[Event, ...]
-    signals: tuple[tuple[float, str], ...]  # further ones, after the first SIGTERM
-    quiet_s: float = 0.0  # without a request, between some of the first and the load
+    signals: tuple[tuple[float, str], ...]  # seconds after the first SIGTERM, and name, of further signals
+    quiet_s: float = 0.0  # idle time between the first requests and the load
 
     @property
-    def kill_s(self) -> float:
-        return self.load_s + self.deadline_s + KILL_AFTER_S
+    def kill_at_s(self) -> float:
+        return self.load_s + self.deadline_s + KILL_MARGIN_S
 
     @property
-    def connects_s(self) -> float:
-        return self.load_s + NEW_CONNECTIONS_S
+    def connects_until_s(self) -> float:
+        return self.load_s + CONNECTS_AFTER_SIGTERM_S
 
 
 def drawn(seed: int) -> Plan:
@@ -66,14 +69,14 @@
     deadline_s = rng.choice((0.3, 0.5, 0.9, 0.9, 1.5, 3.0))
     load_s = round(rng.uniform(1.5, 3.0), 2)
     backends = rng.randint(3, 6)
-    # From a source of its own: what else a seed draws stays as it was before there were outages.
-    outage = outage_with_changes(Random(f"{seed} outage"), backends)
+    # Outages have a generator of their own, so that seeds still give the plans known from before outages.
+    outage = draw_outage(Random(f"{seed} outage"), backends)
     if outage:
-        load_s = round(load_s + outage[0].at_s + outage[0].for_s + AFTER_OUTAGE_S, 2)
-    events = [backend_trouble(rng, load_s, backends) for _ in range(rng.randint(2, 5))]
-    events += [node_trouble(rng, load_s) for _ in range(rng.randint(0, 3))]
+        load_s = round(load_s + outage[0].at_s + outage[0].for_s + MIN_LOAD_AFTER_OUTAGE_S, 2)
+    events = [draw_backend_fault(rng, load_s, backends) for _ in range(rng.randint(2, 5))]
+    events += [draw_node_fault(rng, load_s) for _ in range(rng.randint(0, 3))]
     events += outage
-    # A backend that hangs through the whole of a shutdown.
+    # A backend that hangs during the whole shutdown.
     if rng.random() < 0.7:
         events.append(Event("hang", load_s - 0.1, deadline_s + 2.0, rng.randrange(backends)))
     signals = [(round(rng.uniform(0.0, 0.6), 3), rng.choice(SIGNALS)) for _ in range(rng.randint(0, 4))]
@@ -84,41 +87,41 @@
         grace_s=rng.choice((0.25, 0.5, 2.0)),
         backends=backends,
         clients=rng.choice((6, 12, 24)),
-        crowd=rng.choice((0, 0, 0, 150)),
-        leaving=rng.choice((0.0, 0.1, 0.3)),
+        idle_connections=rng.choice((0, 0, 0, 150)),
+        early_disconnect_ratio=rng.choice((0.0, 0.1, 0.3)),
         load_s=load_s,
         events=tuple(sorted(events, key=lambda event: event.at_s)),
         signals=tuple(sorted(signals)),
     )
 
 
-def outage_with_changes(rng: Random, backends: int) -> list[Event]:
-    """In a third of the plays discovery fails, and backends drain or restart meanwhile or soon after."""
-    if rng.random() >= OUTAGE_PART:
+def draw_outage(rng: Random, backends: int) -> list[Event]:
+    """Returns, with OUTAGE_PROBABILITY, an outage of discovery with drains or restarts during or after it."""
+    if rng.random() >= OUTAGE_PROBABILITY:
         return []
-    at_s, lasts = round(rng.uniform(0.3, 1.0), 2), round(rng.uniform(0.5, 3.0), 2)
-    events = [Event("outage", at_s, lasts, value=rng.randrange(len(OUTAGES)))]
+    at_s, duration_s = round(rng.uniform(0.3, 1.0), 2), round(rng.uniform(0.5, 3.0), 2)
+    events = [Event("outage", at_s, duration_s, value=rng.randrange(len(OUTAGES)))]
     for _ in range(rng.randint(1, 2)):
         kind, change_at = (
             rng.choice(("drain", "restart")),
-            round(at_s + rng.uniform(0.0, lasts + 1.0), 2),
+            round(at_s + rng.uniform(0.0, duration_s + 1.0), 2),
         )
-        # A drain is seen to its end; a backend's restart takes a moment.
+        # A drain outlasts every grace; a restart takes 0.1 to 0.5 s.
         for_s = 5.0 if kind == "drain" else round(rng.uniform(0.1, 0.5), 2)
         events.append(Event(kind, change_at, for_s, rng.randrange(backends)))
     return events
 
 
-def backend_trouble(rng: Random, load_s: float, backends: int) -> Event:
-    kind = rng.choice(BACKEND_TROUBLES)
-    lasts = round(rng.uniform(0.2, 1.5), 2)
-    value = rng.randint(5, 400)  # of a reset: how long after the request, in milliseconds
-    return Event(kind, round(rng.uniform(0.1, load_s), 2), lasts, rng.randrange(backends), value)
+def draw_backend_fault(rng: Random, load_s: float, backends: int) -> Event:
+    kind = rng.choice(BACKEND_FAULTS)
+    duration_s = round(rng.uniform(0.2, 1.5), 2)
+    value = rng.randint(5, 400)  # kind "reset": milliseconds from the request to the reset
+    return Event(kind, round(rng.uniform(0.1, load_s), 2), duration_s, rng.randrange(backends), value)
 
 
-def node_trouble(rng: Random, load_s: float) -> Event:
-    kind = rng.choice(NODE_TROUBLES)
-    at_s, lasts = round(rng.uniform(0.1, load_s), 2), round(rng.uniform(0.1, 0.6), 2)
+def draw_node_fault(rng: Random, load_s: float) -> Event:
+    kind = rng.choice(NODE_FAULTS)
+    at_s, duration_s = round(rng.uniform(0.1, load_s), 2), round(rng.uniform(0.1, 0.6), 2)
     if kind in ERRORS:
         value = rng.choice(ERRORS[kind])
     elif kind == "wall_clock":
@@ -127,4 +130,4 @@
         value = rng.choice((1, 7, 100))
     else:
         value = rng.randint(50, 140)
-    return Event(kind, at_s, lasts, value=value)
+    return Event(kind, at_s, duration_s, value=value)
--- a/basalthoist/net/control/fleet.py
+++ b/basalthoist/net/control/fleet.py
@@ -1,6 +1,6 @@
-"""This node's part in a fleet on sockets: datagrams, one timer, the file with the hint, operators' calls.
+"""A node's member of the fleet on sockets: datagrams, one timer, the hint file and operators' calls.
 
-What is decided is decided in `fleet/`; here messages are carried, and verdicts are handed to the decisions.
+The protocol's decisions are made in `fleet/`. This module carries its messages and applies its verdicts.
 """
 
 import asyncio
@@ -24,24 +24,28 @@
 if TYPE_CHECKING:
     from basalthoist.net.dispatcher import RequestDispatcher
 
-NEVER = 1 << 60  # a time that does not come
-MIN_TICK = 50  # tenths of a millisecond
+NEVER = 1 << 60
+MIN_TICK = 50  # Like all times here, in tenths of a millisecond.
 TICKS_PER_HEARTBEAT = 4
 
 
 class LocalRateLimit:
-    """This node's part of a limit, for the decisions, by the clock that counts while a machine sleeps."""
+    """This node's quota of a rate limit, on the clock that goes on while the machine sleeps."""
 
     def __init__(self, bucket: Bucket) -> None:
         self.bucket: Bucket = bucket
 
     def take(self, now: int) -> bool:
-        """Whether one more request is within it."""
+        """Returns whether one more request is within the quota, and counts it. Ignores `now`."""
         return self.bucket.take(boot_time_now())
 
 
 class Fleet(ReplicaSocket):
-    """The host of the replica. `stands_by` is told whether this node's view has become stale."""
+    """The host of the replica and of the membership protocol.
+
+    `block_tenants` is called with all tenants that are blocked now, `set_standing_by` with whether this node
+    stands by because its view is stale. `is_idle` returns whether the node drains and has no client left.
+    """
 
     def __init__(
         self,
@@ -50,9 +54,9 @@
         timers: Timers,
         log: Log,
         bans: Bans,
-        shut_out: Callable[[set[str]], None],
+        block_tenants: Callable[[set[str]], None],
         dispatcher: "RequestDispatcher",
-        stands_by: Callable[[bool], None],
+        set_standing_by: Callable[[bool], None],
         run_on_disk: RunOnDisk,
         is_idle: Callable[[], bool],
     ) -> None:
@@ -60,13 +64,13 @@
         super().__init__(document, configuration.name, configuration.folder, bounds, timers, log, run_on_disk)
         self.bans: Bans = bans
         self.is_idle: Callable[[], bool] = is_idle
-        self.shut_out: Callable[[set[str]], None] = shut_out
+        self.block_tenants: Callable[[set[str]], None] = block_tenants
         self.dispatcher: RequestDispatcher = dispatcher
-        self.stands_by: Callable[[bool], None] = stands_by
-        self.customers: list[str] = configuration.customers
-        self.fleet_quotas: dict[str, float] = {}  # by customer, where the fleet sets one
-        self.quotas: list[float | None] = [
-            customer.quota for customer in dispatcher.balancer.quotas.tenants.values()
+        self.set_standing_by: Callable[[bool], None] = set_standing_by
+        self.tenants: list[str] = configuration.customers
+        self.fleet_quotas: dict[str, float] = {}
+        self.configured_quotas: list[float | None] = [
+            tenant.quota for tenant in dispatcher.balancer.quotas.tenants.values()
         ]
         self.callers: dict[int, Callable[[str], None]] = {}
         self.last_call_id: int = int.from_bytes(os.urandom(5), "big") << 20
@@ -75,29 +79,32 @@
         nodes = sorted(document.nodes)
         hint = self.hint_file.read()
         self.holder: QuotaLeaseHolder | None = self.open_limits(at) if document.limits else None
-        self.replica: Replica = Replica(self, self.me, nodes, voters, bounds, self.rng, at, hint, self.holder)
+        self.replica: Replica = Replica(
+            self, self.me, nodes, voters, bounds, self.random, at, hint, self.holder
+        )
         period = int(document.probe_s * SECOND)
         incarnation = self.handshakes.incarnation
-        self.members: Members = Members(self, self.me, incarnation, nodes, period, self.rng, at)
+        self.members: Members = Members(self, self.me, incarnation, nodes, period, self.random, at)
         self.is_standing_by: bool = not self.replica.may_forward_requests(at)
-        stands_by(self.is_standing_by)
+        set_standing_by(self.is_standing_by)
         timers.every(max(bounds.heartbeat_interval // TICKS_PER_HEARTBEAT, MIN_TICK), self.tick)
 
     # The socket.
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:
-        """The socket is open: this process is the only one of its node."""
+        """Takes the open socket, which means that no other process of this node has its address any more."""
         super().connection_made(transport)
         if self.holder is not None:
-            self.holder.lend(boot_time_now())  # the process before this one may have lent it just now
+            # The predecessor may have lent the guaranteed quota a moment ago.
+            self.holder.lend(boot_time_now())
 
     def on_incarnation(self, at: int, name: str, incarnation: int) -> None:
-        """A peer has a new incarnation."""
+        """Passes a peer's new incarnation on to the replica and the members."""
         super().on_incarnation(at, name, incarnation)
         self.members.on_incarnation(at, name, incarnation)
 
     def on_message(self, at: int, name: str, message: Message) -> None:
-        """Takes a message for the members or the replica."""
+        """Passes a message on to the members or the replica."""
         if type(message) is Ping:
             self.members.on_ping(at, name, message)
         elif type(message) is Ack:
@@ -106,13 +113,13 @@
             super().on_message(at, name, message)
 
     def after_message(self, at: int) -> None:
-        """The message may have confirmed the view."""
+        """Checks the view, which the message may have confirmed."""
         self.check_view(at)
 
     # Time.
 
     def tick(self) -> None:
-        """Does what is due."""
+        """Drives the timers of the replica, the members and the rate limits."""
         at = boot_time_now()
         self.close_or_open_limits(at, self.is_idle())
         self.replica.on_tick(at)
@@ -120,7 +127,7 @@
         self.check_view(at)
 
     def check_view(self, at: int) -> None:
-        """Stands by while this node may not act on what it knows."""
+        """Stands by while the view is too old to forward requests, and logs each change."""
         if self.is_standing_by != self.replica.may_forward_requests(at):
             return
         self.is_standing_by = not self.is_standing_by
@@ -129,57 +136,61 @@
             self.log(f"view stale, version {version}: stands by")
         else:
             self.log(f"view confirmed, version {version}")
-        self.stands_by(self.is_standing_by)
+        self.set_standing_by(self.is_standing_by)
 
     def may_forward_requests(self) -> bool:
-        """Asked before every send. Guards against a process that stood still and has met no timer yet."""
+        """Returns whether the view is fresh enough to forward requests.
+
+        Checked before every send, because a process that was suspended has not run its timers yet.
+        """
         return self.replica.may_forward_requests(boot_time_now())
 
     # Rate limits.
 
     def open_limits(self, at: int) -> QuotaLeaseHolder:
-        """Hands this node's part of each limit to the decisions."""
+        """Registers this node's quota of each rate limit with the dispatcher; returns the lease holder."""
         limits = [Limit(limit.customer, limit.rate, limit.burst) for limit in self.document.limits]
         holder = QuotaLeaseHolder(limits, len(self.document.nodes), self.document.bounds(), at)
-        # Guards against two processes of one node that both use its share: it has none before the address.
+        # Two processes of one node must not both use its guaranteed quota. This one gets it only when it
+        # has bound the node's address (`connection_made`).
         for limit, bucket in zip(limits, holder.buckets, strict=True):
             bucket.guaranteed_from = NEVER
-            self.dispatcher.on_rate_limit(self.customers.index(limit.tenant), LocalRateLimit(bucket))
+            self.dispatcher.on_rate_limit(self.tenants.index(limit.tenant), LocalRateLimit(bucket))
         return holder
 
     def close_or_open_limits(self, at: int, is_idle: bool) -> None:
-        """While no client can come, what this node was granted goes back at once."""
+        """Returns this node's grants at once when it has become idle, and requests them again afterwards."""
         if self.holder is not None and is_idle != self.holder.closed:
             (self.holder.close if is_idle else self.holder.open)(at)
 
     # The replica's host.
 
     def apply(self, verdicts: VerdictSet) -> None:
-        """Applies these verdicts from now on."""
+        """Applies a verdict set in place of the one before it."""
         present = verdicts.verdicts.values()
         banned = (verdict.subject for verdict in present if verdict.kind in (BAN, OUTLIER))
         self.bans.set_by_source(VerdictSource.FLEET, banned)
-        self.shut_out({verdict.subject for verdict in present if verdict.kind == TENANT_BAN})
+        self.block_tenants({verdict.subject for verdict in present if verdict.kind == TENANT_BAN})
         self.set_quotas({verdict.subject: verdict.figure for verdict in present if verdict.kind == QUOTA})
         self.log(f"fleet: acts on version {verdicts.version}, {len(present)} verdicts")
 
     def set_quotas(self, fleet_quotas: dict[str, float]) -> None:
-        """Sets the fleet's quotas, and the configured ones where the fleet sets none any more."""
-        for number, name in enumerate(self.customers):
+        """Sets the fleet's quotas, and restores the configured quota of a tenant that no longer has one."""
+        for number, name in enumerate(self.tenants):
             if fleet_quotas.get(name) != self.fleet_quotas.get(name):
-                self.dispatcher.on_quota(number, fleet_quotas.get(name, self.quotas[number]))
+                self.dispatcher.on_quota(number, fleet_quotas.get(name, self.configured_quotas[number]))
         self.fleet_quotas = fleet_quotas
 
     def detected_outliers(self) -> list[str]:
-        """The outliers that this node has detected by itself."""
+        """Returns the outliers that this node has detected itself."""
         return outliers_to_report(self.dispatcher.balancer.backends.values(), now())
 
     def backend_count(self) -> int:
-        """How many backends this node knows."""
+        """Returns how many backends this node knows."""
         return len(self.dispatcher.balancer.backends)
 
     def answer_call(self, call_id: int, text: str) -> None:
-        """Answers an operator of this node."""
+        """Answers a call of an operator at this node; does nothing if it was answered before."""
         caller = self.callers.pop(call_id, None)
         if caller is not None:
             caller(text)
@@ -187,7 +198,7 @@
     # The members' host.
 
     def on_member_state(self, name: str, state: MemberState) -> None:
-        """Nothing: membership is for operators, the leader goes by heartbeats' replies."""
+        """Does nothing: membership is shown to operators only; the leader relies on replies to heartbeats."""
 
     # Operators.
 
@@ -199,22 +210,22 @@
         answer: Callable[[str], None],
         figure: float = 0.0,
     ) -> None:
-        """Sets or takes back a verdict of each kind on the subject."""
+        """Proposes to set, or to lift, a verdict of each kind on the subject."""
         self.pass_on([Verdict(kind, subject, on, figure, self.me, "operator") for kind in kinds], answer)
 
     def status(self, answer: Callable[[str], None]) -> None:
-        """How the fleet stands, by its leader where one is known."""
+        """Handles `fleet-status`: the leader answers, or this node with FAILURE if it knows no leader."""
         if self.replica.leader_name:
             self.pass_on([], answer)
         else:
             answer(f"FAILURE {self.replica.status(boot_time_now())}")
 
     def members_status(self) -> str:
-        """Which members are present."""
+        """Returns the answer to `fleet-members`: which members are present."""
         return f"SUCCESS {self.members.status(boot_time_now())}"
 
     def pass_on(self, changes: list[Verdict], answer: Callable[[str], None]) -> None:
-        """Hands a call to the replica."""
+        """Passes an operator's call on to the replica; no changes means a query of the status."""
         self.last_call_id += 1
         self.callers[self.last_call_id] = answer
         self.replica.on_call(boot_time_now(), self.last_call_id, changes)
--- a/basalthoist/net/control/relay_process.py
+++ b/basalthoist/net/control/relay_process.py
@@ -1,7 +1,8 @@
-"""A machine set aside for control: `python -m basalthoist relay FILE`. A store, its connection to the leader,
-the sessions of nodes; where it votes, the register's replica and a publisher as well. docs/distribution.md.
+"""A relay process on a dedicated machine: `python -m basalthoist relay FILE`. See docs/distribution.md.
 
-What is decided is decided in `distribution/` and `fleet/`; here messages are carried.
+It has a store, a connection to the leader and the sessions of nodes; a voter also has a replica of the
+register and a publisher. The protocols' decisions are made in `distribution/` and `fleet/`; this module
+carries their messages.
 """
 
 import asyncio
@@ -47,15 +48,15 @@
 LOG_LINES_PER_S = 50
 RESERVED_DESCRIPTORS = 48
 UNLIMITED_DESCRIPTORS = 1 << 20
-ADMIN_LINE_S = 5.0  # a caller at the admin interface has to end its line
+ADMIN_LINE_TIMEOUT_S = 5.0
 BACKLOG = 1024
-BIND_S = 5.0  # how long an address may still be in use by a process before this one
+BIND_TIMEOUT_S = 5.0  # A previous process of this relay may still have the address.
 BIND_RETRY_S = 0.05
-LAST_WRITE_S = 2.0  # for the file, at the end
+FINAL_WRITE_TIMEOUT_S = 2.0
 
 
 class RegisterVoter(ReplicaSocket):
-    """The register's replica. `on_register_event` is called after whatever came to it, and on each tick."""
+    """A voter's replica of the register. Calls `on_register_event` after each message and on each tick."""
 
     def __init__(
         self,
@@ -72,61 +73,61 @@
         self.on_register_event = on_register_event
         voters = sorted(register.voters)
         self.replica = Replica(
-            self, settings.name, voters, voters, bounds, self.rng, now, self.hint_file.read()
+            self, settings.name, voters, voters, bounds, self.random, now, self.hint_file.read()
         )
 
     def tick(self) -> None:
-        """The replica's time."""
+        """Drives the replica's timers."""
         self.replica.on_tick(boot_time_now())
         self.on_register_event()
 
     def after_message(self, at: int) -> None:
-        """A datagram has come."""
+        """Reports that a message has been delivered to the replica."""
         self.on_register_event()
 
-    # As host of the replica.
+    # Host of the replica.
 
     def apply(self, verdicts: VerdictSet) -> None:
-        """The publisher reads the head where it stands."""
+        """Does nothing: the publisher reads the head from the replica itself."""
 
     def answer_call(self, call_id: int, text: str) -> None:
-        """Operators call the publisher."""
+        """Does nothing: operators' calls go to the publisher, never to this replica."""
 
     def detected_outliers(self) -> list[str]:
-        """No backends are known here."""
+        """Returns no outliers, because a relay process has no backends."""
         return []
 
     def backend_count(self) -> int:
-        """No backends are known here."""
+        """Returns 0, because a relay process has no backends."""
         return 0
 
 
 class LeaderLink(OutgoingConnection):
-    """The connection to the leader: host of the leader session."""
+    """The connection to the leader, and host of the leader session."""
 
     def __init__(self, process: "RelayProcess") -> None:
         super().__init__(process.loop, process.key, process.log)
         self.process = process
 
     def on_commit(self, entries: list[Entry]) -> None:
-        """The store has a later version."""
+        """Handles a later version of the store, with the entries that changed."""
         self.process.on_commit(entries)
 
     def on_proposal(self) -> None:
-        """The store has another pending change."""
+        """Handles a new pending change of the store."""
         self.process.on_proposal()
 
     def relay_state(self) -> RelayState:
-        """Of the relay here."""
+        """Returns the state of this process's relay, which heartbeats report to the leader."""
         return self.process.relay.state(boot_time_now())
 
     def on_answer(self, call_id: int, text: str) -> None:
-        """To an operator here, or a node that passed a call on."""
+        """Answers a call of an operator at this process, or of a node that has passed a call on."""
         self.process.calls.answer(call_id, text)
 
 
 class RelayProcess(ConfigurationCalls):
-    """Host of relay and publisher."""
+    """A relay process: host of the relay and, if this process is a voter, of the publisher."""
 
     def __init__(self, settings: DistributionDocument, loop: asyncio.AbstractEventLoop, folder: str) -> None:
         now, name, incarnation = boot_time_now(), settings.name, new_incarnation()
@@ -149,14 +150,14 @@
         if name in settings.voters:
             self.voting = self.make_voter(folder)
             self.publisher = self.make_publisher(self.voting, incarnation)
-        self.sessions = IncomingSessions(self.relay, self.publisher, max_open(), self.call, self.log)
+        self.sessions = IncomingSessions(self.relay, self.publisher, max_connections(), self.call, self.log)
         self.admin: Admin | None = self.make_admin() if settings.admin else None
         self.listener: Listener | None = None
         self.timers.every(TICK, self.tick)
         self.timers.every(int(settings.keep_s * SECOND), self.file.save)
 
     def make_leader_session(self, incarnation: int, now: int) -> LeaderSession:
-        """Of this process's store."""
+        """Creates the session that keeps this process's store up to date with the leader."""
         settings = self.settings
         random = Lcg(int.from_bytes(os.urandom(7), "big"))
         voters = [voter.address for voter in settings.voters.values()]
@@ -164,21 +165,25 @@
         return LeaderSession(self.leader_link, *own, voters, self.bounds, self.store, random, now)
 
     def make_voter(self, folder: str) -> RegisterVoter:
-        """For a process that is among the voters."""
+        """Creates the replica of the register, for a process that is a voter."""
         common = self.timers, self.log, self.disk_worker
         return RegisterVoter(self.settings, folder, *common, self.on_register_event)
 
-    def make_publisher(self, voter: RegisterVoter, incarnation: int) -> Publisher:
-        """For a process that is among the voters."""
-        voters = {name: one.address for name, one in self.settings.voters.items()}
+    def make_publisher(self, register_voter: RegisterVoter, incarnation: int) -> Publisher:
+        """Creates the publisher, for a process that is a voter."""
+        voters = {name: voter.address for name, voter in self.settings.voters.items()}
         own = self.settings.name, incarnation
-        head = RegisterHead(voter.replica)
+        head = RegisterHead(register_voter.replica)
         return Publisher(self, head, *own, voters, self.bounds, self.store, check_entries)
 
     def make_admin(self) -> Admin:
-        """The operators' calls."""
+        """Creates the admin interface with the operators' calls."""
         admin = Admin(
-            {"config-here": self.here}, {"config-drop": self.drop}, self.timers, self.log, ADMIN_LINE_S
+            {"config-here": self.here},
+            {"config-drop": self.drop},
+            self.timers,
+            self.log,
+            ADMIN_LINE_TIMEOUT_S,
         )
         admin.deferred_calls["config-status"] = self.status
         admin.calls_with_figure["config-set"] = self.set
@@ -187,62 +192,62 @@
     # Time.
 
     def tick(self) -> None:
-        """Of everything here."""
+        """Drives the timers of all parts of the process."""
         now = boot_time_now()
         if self.voting is not None:
             self.voting.tick()
         run_guarded(self.leader_session.on_tick, self.log, now)
         run_guarded(self.relay.on_tick, self.log, now)
-        self.sessions.end_unidentified(self.bounds.silent)
+        self.sessions.end_sessions_without_handshake(self.bounds.silent)
 
     def on_register_event(self) -> None:
-        """Something came to the register's replica."""
+        """Lets the publisher act on a possible change in the register's replica."""
         if self.publisher is not None:
             run_guarded(self.publisher.on_register_event, self.log, boot_time_now())
 
-    # As host of relay and publisher.
+    # Host of relay and publisher.
 
     def send(self, session: int, message: Message | EncodedMessage) -> None:
-        """To a node or another relay."""
+        """Sends a message on the session of a node or of another relay."""
         self.sessions.send(session, message)
 
     def unsent_bytes(self, session: int) -> int:
-        """Written, and not taken by the peer."""
+        """Returns how many bytes written to a session are still in the write buffer."""
         return self.sessions.unsent_bytes(session)
 
     def end_session(self, session: int, reason: str) -> None:
-        """The role learns of it later."""
+        """Ends a session. The role's `on_session_ended` is called later."""
         self.sessions.end(session, reason)
 
     def age(self, now: int) -> int:
-        """Of the store's view."""
+        """Returns the age of the store's view, in tenths of a millisecond."""
         return self.leader_session.age(now)
 
     def max_sessions(self) -> int:
-        """As the leader allows."""
+        """Returns how many sessions the leader allows here; 0 for no limit."""
         return self.leader_session.max_sessions
 
     def on_all_nodes_current(self, now: int) -> None:
-        """The leader hears of it at once."""
+        """Informs the leader by a heartbeat, at once, that no node here may act on an older version."""
         if self.leader_session.connection.is_established:
             self.leader_session.send_heartbeat(now)
 
     def on_commit(self, entries: list[Entry]) -> None:
-        """The store has a later version."""
+        """Passes a later version of the store on to the relay, with the entries that changed."""
         self.relay.on_commit(boot_time_now(), entries)
 
     def on_proposal(self) -> None:
-        """The store has another pending change."""
+        """Writes the store's new pending change to its file."""
         self.file.append_pending()
 
-    # Operators.
+    # Operators' calls.
 
     def call(self, entries: list[Entry], answer: Answer) -> None:
-        """To the leader."""
+        """Sends an operator's call to the leader."""
         self.leader_session.on_call(boot_time_now(), self.calls.add(answer), entries)
 
     def here(self) -> str:
-        """`config-here`. Bytes are since the process began."""
+        """Returns the answer to `config-here`. Bytes are counted since the process started."""
         age, leader = self.leader_session.age(boot_time_now()), self.leader_session.connection.address
         bytes_in, bytes_out = self.traffic()
         view = f"{age / SECOND:.1f} s old" if age < UNCONFIRMED_AGE else "never confirmed"
@@ -250,22 +255,22 @@
         return f"SUCCESS version {self.store.version} {view} by {leader or 'no author'}, {sessions}"
 
     def traffic(self) -> tuple[int, int]:
-        """Bytes in and out on connections so far."""
+        """Returns the bytes received and sent on all connections since the process started."""
         leader_in, leader_out = self.leader_link.traffic()
         bytes_in, bytes_out = self.sessions.traffic()
         return leader_in + bytes_in, leader_out + bytes_out
 
-    # Beginning and end.
+    # Start and end.
 
     async def serve(self, until: asyncio.Future) -> None:
-        """Until that future is done. Raises OSError where an address can't be listened on."""
+        """Serves until the future is done. Raises OSError if an address cannot be bound."""
         host, port = address_of(self.settings.listen)
         make_stream = partial(MessageStream, self.loop, self.key, self.sessions)
-        sock = await retried_while_in_use(partial(self.listening, (host, port)))
+        sock = await retried_while_in_use(partial(self.open_listening_socket, (host, port)))
         self.listener = Listener(self.loop, self.timers, self.log, sock, make_stream)
         if self.voting is not None:
             address = self.voting.addresses[self.settings.name]
-            await retried_while_in_use(partial(self.open_datagrams, address))
+            await retried_while_in_use(partial(self.open_register_socket, address))
         if self.admin is not None:
             address = address_of(self.settings.admin)
             await retried_while_in_use(partial(self.admin.listen, self.loop, address))
@@ -274,23 +279,23 @@
         await self.end()
 
     async def end(self) -> None:
-        """Closes all that was opened, and keeps the store."""
+        """Closes all sockets and writes the store to its file."""
         self.listener.close()
         self.leader_link.close()
-        self.sessions.end_all("the relay ends")
+        self.sessions.end_all("relay process ends")
         if self.voting is not None:
             self.voting.close()
         if self.admin is not None:
             self.admin.close()
         self.file.save()
-        await self.disk_worker.settle(LAST_WRITE_S)
+        await self.disk_worker.settle(FINAL_WRITE_TIMEOUT_S)
 
-    async def listening(self, address: tuple[str, int]) -> socket.socket:
-        """For nodes and relays."""
+    async def open_listening_socket(self, address: tuple[str, int]) -> socket.socket:
+        """Returns the listening socket for nodes and relays."""
         return listening_socket(address, BACKLOG)
 
-    async def open_datagrams(self, address: tuple[str, int]) -> None:
-        """Of the register."""
+    async def open_register_socket(self, address: tuple[str, int]) -> None:
+        """Opens the UDP socket of the register's replica."""
         sock = socket.socket(family_of(address), socket.SOCK_DGRAM)
         try:
             sock.setblocking(False)
@@ -301,26 +306,28 @@
             raise
 
 
-def max_open() -> int:
-    """Connections, by the limit of the process's file descriptors."""
+def max_connections() -> int:
+    """Returns how many connections the process's limit of file descriptors allows."""
     allowed, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     return allowed - RESERVED_DESCRIPTORS if allowed != resource.RLIM_INFINITY else UNLIMITED_DESCRIPTORS
 
 
 async def retried_while_in_use(listen: Callable[[], Awaitable]) -> socket.socket | None:
-    """What `listen` returns. Raises OSError where the address stays in use, or for any other reason."""
-    for attempts_left in range(int(BIND_S / BIND_RETRY_S), -1, -1):
+    """Calls `listen` until the address is free, and returns its result.
+
+    Raises OSError if the address is still in use after BIND_TIMEOUT_S, or at once for any other error.
+    """
+    for attempts_left in range(int(BIND_TIMEOUT_S / BIND_RETRY_S), -1, -1):
         try:
             return await listen()
         except OSError as error:
-            # Guards against a process before this one that has not yet let go of the address.
             if error.errno != errno.EADDRINUSE or not attempts_left:
                 raise
         await asyncio.sleep(BIND_RETRY_S)
 
 
 async def run(settings: DistributionDocument, folder: str, make: type[RelayProcess] = RelayProcess) -> None:
-    """Serves until SIGTERM or SIGINT. `folder`: for files; empty for none."""
+    """Serves until SIGTERM or SIGINT. Stores files in `folder`; stores none if `folder` is empty."""
     loop = asyncio.get_running_loop()
     until = loop.create_future()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -23,12 +23,12 @@
     running = []
 
     def begin(
-        *behaviours, known=None, wait=True, listed=True, mute=False, close_after_answer=False, files=1024, told=(),
+        *behaviours, known=None, wait=True, listed=True, mute=False, one_each=False, files=1024, told=(),
         environment=None, agent=None, **more,
     ):  # fmt: skip
         backends = [b if isinstance(b, str | StandIn) else StandIn(b) for b in behaviours]
         entries = [member(f"s-{i}", b) for i, b in enumerate(backends)]
-        discovery = agent or DiscoveryStandIn(entries if listed else [], mute, close_after_answer)
+        discovery = agent or DiscoveryStandIn(entries if listed else [], mute, one_each)
         made = document(discovery.address, entries if known is None else known, **more)
         environment = {v: discovery.address for v in told} | (environment or {})
         program = Program(tmp_path, made, files, **environment)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -93,7 +93,7 @@
                 sock.shutdown(socket.SHUT_RDWR)
 
 
-class ResettingBackend(StandIn):
+class ResetUnread(StandIn):
     """Takes connections and resets each as soon as something has come on it."""
 
     def serve(self, sock):
@@ -137,7 +137,7 @@
     return behave
 
 
-def reply_once_open(gate):
+def once_open(gate):
     """Answers as soon as there is something in `gate`."""
 
     def behave(stand_in, sock, request):
@@ -163,13 +163,13 @@
 class DiscoveryStandIn(StandIn):
     """Serves `members`; `tell` sends a change down all watches.
 
-    `mute`: it accepts and says nothing; `close_after_answer`: it closes after each answer.
+    `mute`: it accepts and says nothing; `one_each`: it closes after each answer.
     """
 
-    def __init__(self, members, mute=False, close_after_answer=False):
+    def __init__(self, members, mute=False, one_each=False):
         self.members, self.mute, self.watches, self.lists = members, mute, [], 0
         self.refuses = None  # a status that every call is answered with
-        self.close_after_answer = close_after_answer
+        self.one_each = one_each
         super().__init__(type(self).answer)
 
     def answer(self, sock, request):
@@ -177,7 +177,7 @@
             return
         if self.refuses:
             return sock.sendall(b"HTTP/1.1 %d No\r\nContent-Length: 0\r\n\r\n" % self.refuses)
-        close = b"Connection: close\r\n" if self.close_after_answer else b""
+        close = b"Connection: close\r\n" if self.one_each else b""
         text = json.dumps({"revision": 1, "complete": True, "members": self.members}).encode()
         if "stream=1" in request.path:
             sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(b"\n"))
@@ -185,7 +185,7 @@
         else:
             self.lists += 1
             sock.sendall(b"HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n" % (close, len(text)) + text)
-            if self.close_after_answer:
+            if self.one_each:
                 raise EOFError
 
     def tell(self, *members):
@@ -235,7 +235,7 @@
         self.process.wait()
         self.errors.close()
 
-    def wait_refused_start(self):
+    def ends_at_once(self):
         """It has refused its files: exit code 2 and one line, which is handed back."""
         assert self.process.wait(10) == 2
         [line] = self.log().splitlines()
--- a/tests/test_distributed.py
+++ b/tests/test_distributed.py
@@ -181,7 +181,7 @@
     path = tmp_path / "wrong.toml"
     path.write_text('fleet = "x"\nseeds = ["nowhere"]\n')
     program, _, _ = start(wait=False, environment={"PROXY_DISTRIBUTION": str(path)})
-    assert "seeds[0]" in program.wait_refused_start()
+    assert "seeds[0]" in program.ends_at_once()
     ended = subprocess.run([sys.executable, "-m", "basalthoist", "relay", str(path)], capture_output=True)
     assert ended.returncode == 2 and b"role: expected 'relay'" in ended.stderr
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -24,12 +24,12 @@
     document,
     ended,
     member,
+    once_open,
     own_address,
     raw,
     read_head,
     read_message,
     reply,
-    reply_once_open,
     request,
     route,
     silent,
@@ -511,7 +511,7 @@
 @pytest.mark.parametrize("cancel", [True, False])
 def test_behind_another_request_while_reading_is_paused(start, cancel):
     gate = []
-    program, (backend,), _ = start(reply_once_open(gate), settings_more=patient(cancel))
+    program, (backend,), _ = start(once_open(gate), settings_more=patient(cancel))
     sock, port = asks(program, request("pay", timeout=8000, ident="first"), CROWD)
     wait_for(lambda: backend.seen)
     leave(sock)
@@ -581,7 +581,7 @@
 
 def test_a_bad_message_behind_a_good_one_costs_it_nothing(start):
     gate = []
-    program, (backend,), _ = start(reply_once_open(gate))
+    program, (backend,), _ = start(once_open(gate))
     sock, _ = asks(program, request("pay", ident="good"), b"\x00nonsense\r\n\r\n" + b"x" * 300_000)
     wait_for(lambda: backend.seen)
     gate.append(True)
@@ -640,7 +640,7 @@
 @pytest.mark.parametrize("signals", [(signal.SIGTERM, signal.SIGHUP), (signal.SIGHUP, signal.SIGTERM) * 2])
 def test_signals_together_and_again_leave_in_order(start, signals):
     gate = []
-    program, (backend,), discovery = start(reply_once_open(gate))
+    program, (backend,), discovery = start(once_open(gate))
     sock, _ = asks(program, request("pay", ident="held"))
     wait_for(lambda: backend.seen)
     for number in signals:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""Two sites on loopback: real nodes, links that are cut, backends that die. Saves run once or not at all."""
+"""Two sites on loopback: real nodes, cut links, lost backends. At-most-once requests run at most once."""
 
 import json
 import signal
@@ -12,10 +12,10 @@
     StandIn,
     document,
     member,
+    once_open,
     own_address,
     read_message,
     reply,
-    reply_once_open,
     request,
     route,
     silent,
@@ -23,11 +23,11 @@
 )  # fmt: skip
 from test_shutdown import DEADLINE_S, assert_shutdown_answers_all_requests, reply_after_30_ms
 
-QUICK = "beat_s = 0.1\nsilent_s = 0.5\nsteady_s = 0.1\ncalm_s = 0.4\n"
+SHORT_TIMES = "beat_s = 0.1\nsilent_s = 0.5\nsteady_s = 0.1\ncalm_s = 0.4\n"
 
 
 class Site:
-    """A node with backends of its own, and the file that names the other site."""
+    """A node with its own backends, and the gateway file that names the other site."""
 
     def __init__(self, folder, name, behaviours):
         self.folder, self.name, self.listen = folder / name, name, own_address()
@@ -37,16 +37,16 @@
         self.discovery = DiscoveryStandIn(self.members)
         self.program = None
 
-    def start(self, *others, more=QUICK, settings=None):
+    def start(self, *others, more=SHORT_TIMES, settings=None):
         text = f"site = '{self.name}'\n{more}"
         for other in others:
             text += f"[[sites]]\nname = '{other.name}'\ngateways = ['{other.listen}']\n"
         path = self.folder / "gateway.toml"
         path.write_text(text)
-        made = document(self.discovery.address, self.members, listen=self.listen, settings_more=settings)
-        made["settings"]["policy_limits"] |= {"probes": True}
-        made["settings"]["feedback"] = {"how": "inline", "fields": ["rif"]}
-        self.program = Program(self.folder, made, PROXY_GATEWAY=str(path)).wait_ready()
+        node_file = document(self.discovery.address, self.members, listen=self.listen, settings_more=settings)
+        node_file["settings"]["policy_limits"] |= {"probes": True}
+        node_file["settings"]["feedback"] = {"how": "inline", "fields": ["rif"]}
+        self.program = Program(self.folder, node_file, PROXY_GATEWAY=str(path)).wait_ready()
         return self
 
     def lose(self, *numbers):
@@ -54,13 +54,13 @@
             *[self.members[n] | {"phase": "gone"} for n in numbers or range(len(self.members))]
         )
 
-    def back(self):
+    def restore_backends(self):
         self.discovery.tell(*self.members)
 
     def says(self):
         return json.loads(self.program.ask(b"GET /site HTTP/1.1\r\n\r\n").body)
 
-    def runs(self):
+    def run_ids(self):
         ids = [
             r.headers.get("request-id") for b in self.backends for r in b.seen if r.path.startswith("/pay")
         ]
@@ -70,28 +70,28 @@
         if self.program is not None:
             self.program.process.send_signal(signal.SIGCONT)
             self.program.close()
-        for one in [*self.backends, self.discovery]:
-            one.close()
+        for server in [*self.backends, self.discovery]:
+            server.close()
 
 
 @pytest.fixture
 def sites(tmp_path):
-    made = []
+    started = []
 
-    def two(a, b):
-        made.extend([Site(tmp_path, "a", a), Site(tmp_path, "b", b)])
-        made[0].start(made[1])
-        made[1].start(made[0])
-        for one in made:
-            wait_for(lambda one=one: one.discovery.watches and not one.says()["hot"])
-        return made
+    def start_two(a, b):
+        started.extend([Site(tmp_path, "a", a), Site(tmp_path, "b", b)])
+        started[0].start(started[1])
+        started[1].start(started[0])
+        for site in started:
+            wait_for(lambda site=site: site.discovery.watches and not site.says()["hot"])
+        return started
 
-    yield two
-    for one in made:
-        one.close()
+    yield start_two
+    for site in started:
+        site.close()
 
 
-def save(site, ident, timeout=800):
+def pay(site, ident, timeout=800):
     return site.program.ask(request("pay", timeout, ident=ident))
 
 
@@ -99,55 +99,55 @@
     wait_for(lambda: "spill offered" in site.program.log())
 
 
-def test_exchanges_of_a_site_without_backends_are_served_by_the_other_and_run_once(sites):
+def test_requests_of_site_without_backends_are_served_by_the_other_and_run_once(sites):
     a, b = sites([reply(200, b"a")] * 2, [reply(200, b"b")] * 2)
-    assert save(a, "before").body == b"a"
+    assert pay(a, "before").body == b"a"
     a.lose()
-    wait_for(lambda: save(a, f"try-{time.monotonic()}").body == b"b")
+    wait_for(lambda: pay(a, f"try-{time.monotonic()}").body == b"b")
     for number in range(20):
-        assert save(a, f"x{number}").body == b"b"
-    assert save(b, "own").body == b"b"
-    ran = a.runs() + b.runs()
+        assert pay(a, f"x{number}").body == b"b"
+    assert pay(b, "own").body == b"b"
+    ran = a.run_ids() + b.run_ids()
     assert len(ran) == len(set(ran))
 
 
-def test_spill_ends_when_the_own_backends_are_back(sites):
+def test_spill_ends_when_own_backends_return(sites):
     a, _ = sites([reply(200, b"a")] * 2, [reply(200, b"b")] * 2)
     a.lose()
-    wait_for(lambda: save(a, f"there-{time.monotonic()}").body == b"b")
-    a.back()
-    # Its clients go on: the part that was shed counts against what is asked, which would fade with it.
-    wait_for(lambda: save(a, f"on-{time.monotonic()}") and "spill ended" in a.program.log())
-    wait_for(lambda: {save(a, f"home-{time.monotonic()}").body for _ in range(10)} == {b"a"})
+    wait_for(lambda: pay(a, f"there-{time.monotonic()}").body == b"b")
+    a.restore_backends()
+    # Requests continue meanwhile: the shed rate is compared with the demand, which would decay without them.
+    wait_for(lambda: pay(a, f"on-{time.monotonic()}") and "spill ended" in a.program.log())
+    wait_for(lambda: {pay(a, f"home-{time.monotonic()}").body for _ in range(10)} == {b"a"})
 
 
-def test_with_both_sites_dead_an_exchange_is_refused_at_once_and_goes_round_nowhere(sites):
+def test_request_is_shed_at_once_and_not_forwarded_if_both_sites_have_no_backends(sites):
     a, b = sites([reply()], [reply()])
-    for one in (a, b):
-        one.lose()
-    for one in (a, b):
-        wait_for_spill_offer(one)
+    for site in (a, b):
+        site.lose()
+    for site in (a, b):
+        wait_for_spill_offer(site)
     wait_for(lambda: a.says()["hot"] and b.says()["hot"])
-    time_before = time.monotonic()
-    assert save(a, "lost", 8000).status == "503"
-    assert time.monotonic() - time_before < 4  # half of its time
-    assert not a.runs() + b.runs()
+    started_at = time.monotonic()
+    assert pay(a, "lost", 8000).status == "503"
+    assert time.monotonic() - started_at < 4  # half of the request's timeout
+    assert not a.run_ids() + b.run_ids()
 
 
-def test_a_link_that_breaks_after_a_save_was_written_gives_one_answer_and_no_second_run(sites):
+def test_link_broken_after_at_most_once_request_was_sent_gives_one_response_and_one_run(sites):
     gate = []
-    a, b = sites([reply()], [reply_once_open(gate)] * 2)
+    a, b = sites([reply()], [once_open(gate)] * 2)
     a.lose()
     wait_for_spill_offer(a)
     wait_for(lambda: a.program.log().count("spill offered"))
     answers = []
     with a.program.connect() as sock, sock.makefile("rb") as source:
-        for attempt in range(50):  # until a lane is there, an exchange is refused unseen
+        for attempt in range(50):  # Until a link is listed, requests are shed without an attempt.
             sock.sendall(request("pay", 5000, ident=f"save-{attempt}"))
             thread = threading.Thread(target=lambda: answers.append(read_message(source)))
             thread.start()
-            wait_for(lambda: b.runs() or answers)
-            if b.runs():
+            wait_for(lambda: b.run_ids() or answers)
+            if b.run_ids():
                 break
             thread.join()
             assert answers.pop().status == "503"
@@ -157,49 +157,49 @@
         assert answer.status == "502"
         sock.settimeout(0.3)
         with pytest.raises(TimeoutError):
-            source.read(1)  # nothing behind the one answer
+            source.read(1)  # Nothing follows the response.
     gate.append(True)
-    assert len(b.runs()) == len(set(b.runs())) == 1 and not a.runs()
+    assert len(b.run_ids()) == len(set(b.run_ids())) == 1 and not a.run_ids()
 
 
-def test_a_gateway_that_falls_silent_is_left_and_refused_exchanges_are_answered(sites):
+def test_silent_gateway_is_not_used_and_requests_are_shed_until_it_returns(sites):
     a, b = sites([reply()], [reply(200, b"b")] * 2)
     a.lose()
-    wait_for(lambda: save(a, f"there-{time.monotonic()}").body == b"b")
+    wait_for(lambda: pay(a, f"there-{time.monotonic()}").body == b"b")
     b.program.process.send_signal(signal.SIGSTOP)
-    wait_for(lambda: save(a, f"gone-{time.monotonic()}", 300).status in ("503", "504"))
-    time.sleep(0.8)  # longer than silent_s and a beat
-    began = time.monotonic()
-    assert save(a, "refused", 8000).status == "503"
-    assert time.monotonic() - began < 4  # half of its time
+    wait_for(lambda: pay(a, f"gone-{time.monotonic()}", 300).status in ("503", "504"))
+    time.sleep(0.8)  # longer than silent_s and a heartbeat interval
+    started_at = time.monotonic()
+    assert pay(a, "refused", 8000).status == "503"
+    assert time.monotonic() - started_at < 4  # half of the request's timeout
     b.program.process.send_signal(signal.SIGCONT)
-    wait_for(lambda: save(a, f"again-{time.monotonic()}").body == b"b")
-    ran = b.runs()
+    wait_for(lambda: pay(a, f"again-{time.monotonic()}").body == b"b")
+    ran = b.run_ids()
     assert len(ran) == len(set(ran))
 
 
 @pytest.mark.parametrize(
-    ("mark", "status"),
+    ("hops", "status"),
     [("1", "200"), ("2", "503"), ("0", "503"), ("x", "400"), ("-1", "400"), ("1" * 9, "400")],
 )
-def test_only_a_first_hop_is_let_in(sites, mark, status):
+def test_spilled_request_is_admitted_at_first_hop_only(sites, hops, status):
     a, _ = sites([reply()], [reply()])
-    answer = a.program.ask(request("pay", ident="marked", extra=f"Site-Hops: {mark}\r\n"))
+    answer = a.program.ask(request("pay", ident="marked", extra=f"Site-Hops: {hops}\r\n"))
     assert answer.status == status
     if status == "503":
-        assert answer.headers["not-started"] == "1" and not a.runs()
+        assert answer.headers["not-started"] == "1" and not a.run_ids()
 
 
-def test_the_marks_of_a_hop_do_not_reach_a_backend(sites):
+def test_headers_of_a_hop_do_not_reach_a_backend(sites):
     a, b = sites([reply()], [reply(200, b"b")])
     a.lose()
-    wait_for(lambda: save(a, f"there-{time.monotonic()}").body == b"b")
+    wait_for(lambda: pay(a, f"there-{time.monotonic()}").body == b"b")
     [seen] = [r for r in b.backends[0].seen if r.path.startswith("/pay")][-1:]
     assert not {"site-hops", "site-from"} & set(seen.headers)
     assert int(seen.headers["request-timeout-ms"]) < 800
 
 
-def test_without_a_gateway_file_there_is_no_site_and_marks_mean_nothing(tmp_path):
+def test_without_gateway_file_site_path_is_unknown_and_hop_header_is_ignored(tmp_path):
     backend = StandIn(reply())
     discovery = DiscoveryStandIn([member("s-0", backend)])
     program = Program(tmp_path, document(discovery.address, [member("s-0", backend)])).wait_ready()
@@ -211,7 +211,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "named"),
+    ("text", "key"),
     [
         ("site = 'a'", "sites"), ("site = 'a b'\nsites = []", "site"), ("site = ", "not TOML"),
         ("site = 'a'\nbeats = 1\n[[sites]]\nname = 'b'\ngateways = ['127.0.0.1:1']", "beats"),
@@ -221,25 +221,25 @@
         ("site = 'a'\noffer_under = 0.95\n[[sites]]\nname = 'b'\ngateways = ['127.0.0.1:1']", "offer_under"),
     ],
 )  # fmt: skip
-def test_a_faulty_gateway_file_ends_the_start_and_names_the_key(tmp_path, text, named):
+def test_faulty_gateway_file_ends_the_start_and_error_names_the_key(tmp_path, text, key):
     path = tmp_path / "gateway.toml"
     path.write_text(text)
     program = Program(tmp_path, document("127.0.0.1:1"), PROXY_GATEWAY=str(path))
-    line = program.wait_refused_start()
-    assert named in line and str(path) in line
+    line = program.ends_at_once()
+    assert key in line and str(path) in line
 
 
 @pytest.mark.parametrize("signals", [(), (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP)])
-def test_requests_from_another_site_are_answered_before_the_earliest_kill(tmp_path, signals):
+def test_spilled_requests_are_answered_before_the_earliest_kill(tmp_path, signals):
     routes = [route("read", "at_most_once", DEADLINE_S)]
-    here, there = (
+    site, other = (
         Site(tmp_path, "a", [reply_after_30_ms, silent, reply_after_30_ms]),
         Site(tmp_path, "b", [reply()]),
     )
-    here.start(there, settings={"routes": routes})
+    site.start(other, settings={"routes": routes})
     try:
-        wait_for(lambda: here.discovery.watches and not here.says()["hot"])
-        assert_shutdown_answers_all_requests(here.program, signals, 0.4, "Site-Hops: 1\r\nSite-From: b\r\n")
+        wait_for(lambda: site.discovery.watches and not site.says()["hot"])
+        assert_shutdown_answers_all_requests(site.program, signals, 0.4, "Site-Hops: 1\r\nSite-From: b\r\n")
     finally:
-        here.close()
-        there.close()
+        site.close()
+        other.close()
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -109,7 +109,7 @@
 
 def test_start_fails_with_invalid_admin_address(start):
     program, _, _ = start(reply(), wait=False, admin="127.0.0.1")
-    assert "admin (PROXY_ADMIN): expected host:port" in program.wait_refused_start()
+    assert "admin (PROXY_ADMIN): expected host:port" in program.ends_at_once()
 
 
 # Maintenance in the decisions.
