--- a/basalthoist/decisions/equal_time.py
+++ b/basalthoist/decisions/equal_time.py
@@ -27,7 +27,7 @@
         self.mean_time: float = route_bounds.objective / 3.0
         self.equal_time: float = float(route_bounds.objective)
         self.total_rate: float = 1.0
-        self.floor_share: float = FLOOR_FRACTION
+        self.floor_fraction: float = FLOOR_FRACTION
 
     def solve(self, now: int, demand: float) -> None:
         """Sets the target rates for `demand` requests per second."""
@@ -93,7 +93,7 @@
     def approach_rates(self, solved: list[Backend], remaining: float, scale: float) -> None:
         """Moves each rate half-way to the solved rate, or to the floor rate if that is higher."""
         for backend in solved:
-            even_floor = self.floor_share * remaining / len(solved)
+            even_floor = self.floor_fraction * remaining / len(solved)
             floor = even_floor / (1 + ZONE_COST_WEIGHT * backend.zone_cost / self.mean_time)
             rate = max(backend.profile.rate_at(self.equal_time - backend.zone_cost) / scale, floor)
             smoothing = RATE_SMOOTHING if backend.target_rate else 1.0
--- a/basalthoist/decisions/profile.py
+++ b/basalthoist/decisions/profile.py
@@ -6,11 +6,13 @@
 from .units import SECOND
 
 WINDOW = 2 * SECOND
-MAX_WINDOW = 8 * SECOND  # a window is extended up to this until it holds MIN_SAMPLES
+MAX_WINDOW = 8 * SECOND  # a window with too few samples is extended up to this
 MIN_SAMPLES = 4
 POINT_LIFETIME = 30 * SECOND
 POINT_HALF_LIFE = 5 * SECOND  # of the weight of a point's samples
-PRIOR_SAMPLES = 3.0  # weight, in samples, of the mean of the kind or the subset in every measured mean
+# Each measured mean is blended with the mean of the machine kind or of the subset, which weighs as much as this
+# many samples.
+PRIOR_SAMPLES = 3.0
 MIN_RATE = 0.01  # requests per second
 
 
@@ -24,7 +26,10 @@
 
 
 def service_time(rate: float, time: float, cores: float) -> float:
-    """Returns the response time without queueing of a backend that takes `time` at `rate` on `cores`."""
+    """Estimates the response time at rate 0 from `time`, the response time at `rate` requests per second.
+
+    Both times are in tenths of a millisecond; the requests run on `cores` cores.
+    """
     return time / (1 + rate * time / SECOND / cores)
 
 
@@ -72,7 +77,11 @@
         self.rate_reports += 1
 
     def close_window(self, now: int, longest_time: float) -> bool:
-        """Turns a window with enough samples into a point. Returns whether a new window was started."""
+        """Turns a window with enough samples into a point. Returns whether a new window was started.
+
+        MIN_SAMPLES are enough, or one if the backend has reported a rate. After MAX_WINDOW the window is
+        closed in any case; one without a sample leaves no point.
+        """
         span = now - self.window_started_at
         enough = 1 if self.reported_rate else MIN_SAMPLES
         if span < WINDOW or (self.count < enough and span < MAX_WINDOW):
@@ -85,7 +94,11 @@
         return True
 
     def window_rate(self, span: int) -> float:
-        """Returns the mean reported rate of the window, or else the rate sent by this node."""
+        """Returns the mean rate reported in the window, in requests per second.
+
+        If none was, returns the smoothed rate reported earlier; if there is none either, the rate that this
+        node sent.
+        """
         if self.rate_reports:
             return self.rates_total / self.rate_reports
         return self.reported_rate or self.sent / span * SECOND
--- a/basalthoist/decisions/rotation.py
+++ b/basalthoist/decisions/rotation.py
@@ -73,16 +73,20 @@
         return best
 
     def best_candidate(self, fit: list[Backend], now: int, request: Request) -> Backend | None:
-        """Returns the first backend that is fast enough, or else the fastest one within the time bound."""
+        """Returns the first backend in the rotation that is fast enough, else the fastest within the bound.
+
+        An untested backend with hardly any request ahead is fast enough if it is near the service time, even
+        if its expected time exceeds the time bound.
+        """
         gets_load_updates, health_checks = self.loads.gets_load_updates, self.settings.health_checks
-        gossips = self.gossip.probability > 0.0
+        is_gossiping = self.gossip.probability > 0.0
         objective = self.route_bounds.objective
         service_time, equal_time = self.loads.service_time, self.solver.equal_time
         checking = not request.checks_settled if health_checks else False
-        bound = self.time_bound(now, request, gossips)
+        bound = self.time_bound(now, request, is_gossiping)
         max_open = max(2.0, 2.0 * sum(len(b.open_attempts) for b in fit) / len(fit)) if fit else 0.0
         max_report_age = self.max_report_age(now, checking)
-        no_recent_response = gossips or (
+        may_try_untested = is_gossiping or (
             health_checks and fit and now - max(b.last_response_at for b in fit) > objective
         )
         best, best_time = None, inf
@@ -101,15 +105,17 @@
                 near_time = max(equal_time - cost, near_time)
             # Guards against shedding while some backends are idle: one whose first responses were slow would
             # get no further request.
-            untested = no_recent_response or health_checks and backend.service_time_count < 1.5
-            is_acceptable = untested and self.loads.ahead(backend, now) < 0.1 or not gossips and time <= bound
+            untested = may_try_untested or health_checks and backend.service_time_count < 1.5
+            is_acceptable = (
+                untested and self.loads.ahead(backend, now) < 0.1 or not is_gossiping and time <= bound
+            )
             if is_acceptable and time + cost * gets_load_updates <= near_time:
                 return backend
             if not checking and time <= bound and time + cost < best_time:
                 best, best_time = backend, time + cost
         return best
 
-    def time_bound(self, now: int, request: Request, gossips: bool) -> float:
+    def time_bound(self, now: int, request: Request, is_gossiping: bool) -> float:
         """Returns the longest acceptable expected response time; longer for a higher priority weight."""
         time_left = request.objective_at - now
         if time_left <= 0:
@@ -120,10 +126,13 @@
                 MIN_TIME_FRACTION
                 + VALUE_TIME_FRACTION * request.route.value / self.route_bounds.highest_value
             )
-        return (fraction + GOSSIP_TIME_FRACTION * gossips) * time_left
+        return (fraction + GOSSIP_TIME_FRACTION * is_gossiping) * time_left
 
     def max_report_age(self, now: int, checking: bool) -> float:
-        """Returns the report age above which a backend is skipped; infinite if reports are not used."""
+        """Returns the report age above which a backend is skipped.
+
+        Infinite if there are no health checks, or if none returned a load report in the last second.
+        """
         if checking:
             return REPORT_LIFETIME
         if self.settings.health_checks and now - self.loads.last_health_check_at < SECOND:
@@ -134,7 +143,7 @@
     def overload_bound(backend: Backend, objective: int) -> float:
         """Returns the expected response time above which a backend is skipped, a few times its idle time.
 
-        Guards against loading a backend until it gets slower.
+        Without this bound, a backend would get requests until queueing slows it down.
         """
         max_ratio = MAX_IDLE_TIME_RATIO_REPORTED if backend.profile.reported_rate else MAX_IDLE_TIME_RATIO
         return max(max_ratio * backend.profile.idle_time, 0.2 * objective)
--- a/basalthoist/decisions/settings.py
+++ b/basalthoist/decisions/settings.py
@@ -17,13 +17,16 @@
 
 
 class Route(msgspec.Struct, eq=False):
-    """One route. `objective`, `timeout` and `dedup_window` are durations; `value` is the priority weight."""
+    """One route. `value` is the priority weight.
+
+    `objective`, `timeout`, `dedup_window` and `usual_timeout` are in tenths of a millisecond.
+    """
 
     dedup_scope: str  # "all", "zone" or "cell": which backends recognise a repeat of a request
     semantics: str
     streams: bool
     value: float
-    late_value: float
+    late_value: float  # priority weight of a request past its latency objective; only compared with 0
     dedup_window: int
     timeout: int
     objective: int
@@ -82,9 +85,9 @@
     zone: int
     first_remote_zone: float  # zones with this number or a higher one belong to other sites
     quotas: list[float]  # requests per second over the fleet, by tenant number
-    crossing_price: float
-    peer_price: float
-    surplus_value: float
+    crossing_price: float  # cost of sending a request to another zone, in the unit of `Route.value`
+    peer_price: float  # cost of one datagram of gossip to a peer
+    surplus_value: float  # value of a request over its tenant's quota
     max_retry_after: int
     can_cancel: bool
     can_health_check: bool
@@ -94,9 +97,9 @@
     gossips: bool
     without_load_reports: bool  # the node gossips, and backends report no requests in flight
     cpu_us_per_s: float
-    tick: int
+    tick: int  # a request without an answer fails this long before its deadline
     overload_window: int  # window over which a warming backend's rate is limited
-    fall_multiple: float
+    fall_multiple: float  # a warming backend is overloaded above this multiple of a warm backend's rate
     warm_within: int  # time from a backend's start to its full capacity
     cold_capacity: float  # capacity of a backend at its start, as a fraction of its full capacity
     discovery_on_request: bool
--- a/basalthoist/decisions/stepwise_profiling.py
+++ b/basalthoist/decisions/stepwise_profiling.py
@@ -29,7 +29,7 @@
     def advance(self, now: int, backend: Backend) -> None:
         """Advances the backend to its next stage after a closed window."""
         if not backend.profile.points and not backend.is_warming(now):
-            # Guards against a stage that never ends for lack of samples: the mean of the kind stands in.
+            # Guards against a stage that never ends for lack of samples: the mean of its kind is used.
             backend.profiling_stage = 0
         if not backend.profiling_stage or not backend.profile.points:
             return
--- a/basalthoist/emulator/baselines.py
+++ b/basalthoist/emulator/baselines.py
@@ -197,7 +197,7 @@
 
     def build_rules(self, host: BalancerHost) -> None:
         super().build_rules(host)
-        self.solver.floor_share = 0.0
+        self.solver.floor_fraction = 0.0
 
 
 class NoPeers(Variant):
--- a/basalthoist/emulator/distributed.py
+++ b/basalthoist/emulator/distributed.py
@@ -257,11 +257,11 @@
         data = self.files[-1] if self.files else b""
         self.store: Store = classes["store"].from_bytes(FLEET, data, bounds.history_bytes)
         self.relay: Relay = classes["relay"](self, self.name, self.incarnation, bounds, self.store, now)
-        random = Lcg(world.rng.getrandbits(60))
+        rng = Lcg(world.rng.getrandbits(60))
         self.leader_link = LeaderLink(self)
         own, voters = (self.name, self.incarnation, self.region), list(world.voter_addresses.values())
         self.leader_session: LeaderSession = classes["leader_session"](
-            self.leader_link, *own, voters, bounds, self.store, random, now
+            self.leader_link, *own, voters, bounds, self.store, rng, now
         )
         self.publisher: Publisher | None = self.make_publisher() if self.name in world.replica_nodes else None
 
@@ -391,10 +391,10 @@
         self.start()
         self.connection, self.tenant_bodies = None, {}
         hint = from_bytes(FLEET, self.files[-1]) if keeps and self.files else None
-        random = Lcg(world.rng.getrandbits(60))
+        rng = Lcg(world.rng.getrandbits(60))
         own = self.name, self.incarnation, self.region, self.scopes
         self.subscriber: Subscriber = world.classes["subscriber"](
-            self, *own, world.seeds, world.distribution_bounds, random, self.now(), hint
+            self, *own, world.seeds, world.distribution_bounds, rng, self.now(), hint
         )
 
     def tick(self) -> None:
@@ -645,7 +645,7 @@
             for node in self.nodes.values():
                 self.verify_node(node)
 
-    # What is on_acknowledged.
+    # The invariants that are checked.
 
     def author(self) -> str:
         """Returns the name of the leader, or "" if there is none."""
@@ -713,7 +713,7 @@
         ]
         versions = {subscriber.version for subscriber in able}
         if not leader or versions != {latest} or len(able) < len(self.nodes):
-            state = f"author {leader!r}, {len(able)} nodes, {sorted(versions)} of {latest}"
+            state = f"leader {leader!r}, {len(able)} nodes, {sorted(versions)} of {latest}"
             raise Broken(f"no recovery after the faults: {state}")
         names = next(iter(self.machines.values())).store.catalogue.tenants
         for subscriber in able:
--- a/basalthoist/emulator/distribution_faults.py
+++ b/basalthoist/emulator/distribution_faults.py
@@ -45,39 +45,39 @@
     ) -> None:
         self.world = world
         self.faults = faults
-        self.random = world.rng
+        self.rng = world.rng
         self.call_probability = call_probability
         self.injected: list[str] = []  # faults so far, for the analysis of a failure
-        self.gap: float = gap or self.random.choice(MEAN_GAPS)
+        self.gap: float = gap or self.rng.choice(MEAN_GAPS)
         self.last_call = 0
 
     def run(self) -> None:
         """Injects all faults. Raises Broken if a guarantee is violated or the world does not recover soon."""
-        world, random = self.world, self.random
+        world, rng = self.world, self.rng
         usual_delay = world.delay
         names, gap_mean = [*world.by_name], self.gap * world.bounds.lease
         world.run(world.at + 4 * world.bounds.lease)
         self.call()
         for _ in range(self.faults):
-            gap = int(random.expovariate(1 / gap_mean))
+            gap = int(rng.expovariate(1 / gap_mean))
             for _ in range(3):
                 world.run(world.at + gap // 3)
-                if random.random() < self.call_probability:
+                if rng.random() < self.call_probability:
                     self.call()
             name = self.draw_process(names)
-            kind, duration = random.choice(KINDS), int(random.choice(FAULT_DURATIONS) * world.bounds.lease)
+            kind, duration = rng.choice(KINDS), int(rng.choice(FAULT_DURATIONS) * world.bounds.lease)
             self.injected.append(f"{world.at / 10_000:.2f} {kind} {name} for {duration / 10_000:.2f}")
             self.inject(kind, name, duration, usual_delay)
         self.settle(usual_delay)
 
     def draw_process(self, names: list[str]) -> str:
         """Returns a random process; voters, leader and relays are drawn more often than their share."""
-        world, random = self.world, self.random
-        name = random.choice(names)
-        if random.random() < 0.5:
-            return random.choice([*world.voters, world.author() or world.voters[0]])
-        if random.random() < 0.5:
-            return random.choice([machine.name for machine in world.machines.values()])
+        world, rng = self.world, self.rng
+        name = rng.choice(names)
+        if rng.random() < 0.5:
+            return rng.choice([*world.voters, world.author() or world.voters[0]])
+        if rng.random() < 0.5:
+            return rng.choice([machine.name for machine in world.machines.values()])
         return name
 
     def settle(self, usual_delay: DelayRange) -> None:
@@ -95,22 +95,22 @@
 
     def call(self) -> None:
         """Makes an operator call at a random machine: first services, then route and tenant changes."""
-        world, random = self.world, self.random
+        world, rng = self.world, self.rng
         self.last_call += 1
-        at = random.choice([machine.name for machine in world.machines.values()])
+        at = rng.choice([machine.name for machine in world.machines.values()])
         if self.last_call == 1:
             entries = [*world.relay_entries, *(Entry("service", name, name) for name in world.services)]
             entries += [tenant(f"t{number}", 1.0) for number in range(TENANTS)]
         else:
-            entries = [self.draw_route() for _ in range(random.randint(0, 3))]
-            entries += [tenant(f"t{random.randrange(TENANTS)}", random.randrange(9), random.random() < 0.7)]
+            entries = [self.draw_route() for _ in range(rng.randint(0, 3))]
+            entries += [tenant(f"t{rng.randrange(TENANTS)}", rng.randrange(9), rng.random() < 0.7)]
         world.operator_call(at, self.last_call, entries)
 
     def draw_route(self) -> Entry:
         """Returns a random change of a route: set in some service, or removed."""
-        random = self.random
-        name, service = f"x{random.randrange(ROUTES)}", random.choice(self.world.services)
-        return route(name, service, random.randrange(9), random.random() < 0.7)
+        rng = self.rng
+        name, service = f"x{rng.randrange(ROUTES)}", rng.choice(self.world.services)
+        return route(name, service, rng.randrange(9), rng.random() < 0.7)
 
     def inject(self, kind: str, name: str, duration: int, usual_delay: DelayRange) -> None:
         """Injects a fault of one of KINDS at a process or, for some kinds, at a region or on all links."""
@@ -120,7 +120,7 @@
                 world.freeze(name)
                 world.later(duration, (world.wake, name))
             case "region" if len(world.regions) > 1:
-                world.separated_regions.add(frozenset(self.random.sample(world.regions, 2)))
+                world.separated_regions.add(frozenset(self.rng.sample(world.regions, 2)))
                 world.later(duration, (world.mend,))
             case "alone":
                 world.isolate(name)
@@ -129,7 +129,7 @@
                 self.break_connections(process)
             case "slow":
                 lease = world.bounds.lease
-                world.delay = self.random.choice((usual_delay, (2, lease // 4), (2, lease)))
+                world.delay = self.rng.choice((usual_delay, (2, lease // 4), (2, lease)))
             case "zone":
                 self.restart_region(duration)
             case _ if kind in RESTARTS:
@@ -143,11 +143,11 @@
 
     def restart_region(self, duration: int) -> None:
         """Kills all nodes of a region at once and restarts them together, some without their files."""
-        world, region = self.world, self.random.choice(self.world.regions)
+        world, region = self.world, self.rng.choice(self.world.regions)
         for node in world.nodes.values():
             if node.region == region:
                 world.kill(node.name)
-                keeps = self.random.random() < 0.5
+                keeps = self.rng.random() < 0.5
                 world.later(duration, (self.restart, node.name, node.incarnation, keeps))
 
     def stop(self, kind: str, process: SimulatedProcess, duration: int) -> None:
@@ -163,13 +163,13 @@
 
     def corrupt(self, process: SimulatedProcess) -> None:
         """Truncates the file of a process, or changes one byte."""
-        at, data = self.random.randrange(len(process.files[-1])), process.files[-1]
-        truncated = self.random.random() < 0.5
+        at, data = self.rng.randrange(len(process.files[-1])), process.files[-1]
+        truncated = self.rng.random() < 0.5
         process.files[-1] = data[:at] if truncated else data[:at] + b"?" + data[at + 1 :]
 
     def revert(self, process: SimulatedProcess) -> None:
         """Replaces the file of a process by an earlier one."""
-        process.files = process.files[: self.random.randint(1, len(process.files))]
+        process.files = process.files[: self.rng.randint(1, len(process.files))]
 
     def restart(self, name: str, incarnation: int, keeps: bool) -> None:
         """Restarts a process, unless another fault has already done so."""
--- a/basalthoist/emulator/explore.py
+++ b/basalthoist/emulator/explore.py
@@ -61,7 +61,7 @@
             if self.choices_left["cut"]:
                 yield from (("cut", name), ("cut inbound", name), ("cut outbound", name))
         if self.cut:
-            yield ("heal",)
+            yield ("restore links",)
         if self.choices_left["call"]:
             for name, node in self.replica_nodes.items():
                 if node.replica.role is Role.LEADER:
@@ -91,8 +91,8 @@
             others = [name for name in self.names if name != argument]
             self.cut |= {(argument, other) for other in others if kind != "cut inbound"}
             self.cut |= {(other, argument) for other in others if kind != "cut outbound"}
-        elif kind == "heal":
-            self.heal()
+        elif kind == "restore links":
+            self.restore_links()
         elif kind == "call":
             self.call(
                 argument, 10 - self.choices_left["call"], [Verdict("ban", f"s{self.choices_left['call']}")]
--- a/basalthoist/emulator/membership.py
+++ b/basalthoist/emulator/membership.py
@@ -121,7 +121,7 @@
         return len({detection.name for detection in self.detections if self.nodes[detection.name].alive})
 
 
-def measured(count: int, loss: float, seed: int, seconds: float = 60.0) -> dict[str, float | None]:
+def measure(count: int, loss: float, seed: int, seconds: float = 60.0) -> dict[str, float | None]:
     """Runs a fleet without faults, then kills one node and measures its detection."""
     fleet = MembershipFleet(count, seed, loss=loss)
     fleet.run(seconds)
--- a/basalthoist/emulator/rate_limits.py
+++ b/basalthoist/emulator/rate_limits.py
@@ -147,7 +147,7 @@
             super().verify()
 
 
-def measured(count: int, seed: int = 1, per_node: float = 10.0) -> dict[str, float | None]:
+def measure(count: int, seed: int = 1, per_node: float = 10.0) -> dict[str, float | None]:
     """Runs a fleet with twice the load of its limit, then moves all load to one node in nine.
 
     Returns fairness under equal load, bytes sent per second, and the seconds until 95% of the limit is used
--- a/basalthoist/emulator/replica_faults.py
+++ b/basalthoist/emulator/replica_faults.py
@@ -24,10 +24,10 @@
     def run(self) -> None:
         """Injects all faults. Raises Broken if a guarantee is violated or the fleet does not recover soon."""
         fleet = self.fleet
-        usual = fleet.loss, fleet.double, fleet.delay
+        usual = fleet.loss, fleet.duplication, fleet.delay
         for _ in range(self.faults):
             self.inject_next(usual[2])
-        fleet.loss, fleet.double, fleet.delay = usual
+        fleet.loss, fleet.duplication, fleet.delay = usual
         self.repair()
         fleet.run(fleet.at + 12 * fleet.bounds.lease + 4 * fleet.bounds.stale)
         self.verify_recovery()
@@ -46,7 +46,7 @@
 
     def repair(self) -> None:
         """Ends all faults."""
-        self.fleet.heal()
+        self.fleet.restore_links()
         for name, node in self.fleet.replica_nodes.items():
             if node.replica is None:
                 self.fleet.restart(name)
@@ -91,14 +91,14 @@
         first, second = sorted((self.rng.randrange(1, len(names)), self.rng.randrange(1, len(names))))
         sides = names[:first], names[first:second], names[second:]
         self.fleet.split(*[side for side in sides if side])
-        self.fleet.later(duration, (self.fleet.heal,))
+        self.fleet.later(duration, (self.fleet.restore_links,))
 
     def cut_one_way(self, name: str, names: list[str], duration: int) -> None:
         """Cuts one direction of the links between a node and some others."""
         rng = self.rng
         others = rng.sample([other for other in names if other != name], rng.randint(1, len(names) - 1))
         self.fleet.cut |= {(name, other) if rng.random() < 0.5 else (other, name) for other in others}
-        self.fleet.later(duration, (self.fleet.heal,))
+        self.fleet.later(duration, (self.fleet.restore_links,))
 
     def call(self, name: str) -> None:
         """Makes an operator call that bans a random backend or lifts the ban."""
@@ -109,7 +109,7 @@
     def slow_links(self, usual_delay: tuple[int, int]) -> None:
         """Sets random loss, duplication and delay on all links."""
         fleet, rng, lease = self.fleet, self.rng, self.fleet.bounds.lease
-        fleet.loss, fleet.double = rng.choice((0.0, 0.1, 0.3)), rng.choice((0.0, 0.3))
+        fleet.loss, fleet.duplication = rng.choice((0.0, 0.1, 0.3)), rng.choice((0.0, 0.3))
         fleet.delay = rng.choice((usual_delay, (2, lease // 2), (2, 2 * lease)))
 
     def restart(self, name: str, incarnation: int, keeps: bool) -> None:
--- a/basalthoist/emulator/replicas.py
+++ b/basalthoist/emulator/replicas.py
@@ -106,7 +106,7 @@
         seed: int,
         bounds: Bounds,
         loss: float = 0.0,
-        double: float = 0.0,
+        duplication: float = 0.0,
         delay: tuple[int, int] = (2, 30),
         make: type = Replica,
         limits: Sequence[Limit] = (),
@@ -117,7 +117,7 @@
         self.at: int = 0
         self.make: type = make
         self.loss: float = loss
-        self.double: float = double
+        self.duplication: float = duplication
         self.delay: tuple[int, int] = delay
         self.names: list[str] = [f"n{number}" for number in range(count)]
         self.voters: list[str] = self.names[:voters]
@@ -152,7 +152,7 @@
         incarnations = source.incarnation, source.known_incarnations.get(name, 1)
         if (source.name, name) in self.cut or self.rng.random() < self.loss:
             return
-        for _ in range(2 if self.rng.random() < self.double else 1):
+        for _ in range(2 if self.rng.random() < self.duplication else 1):
             event = MESSAGE, source.name, name, incarnations, message
             self.later(self.rng.randint(*self.delay), event)
 
@@ -244,7 +244,7 @@
         pairs = [(one, other) for one in sides for other in sides if one is not other]
         self.cut = {(a, b) for one, other in pairs for a in one for b in other}
 
-    def heal(self) -> None:
+    def restore_links(self) -> None:
         """Restores all links."""
         self.cut = set()
 
--- a/basalthoist/endpoint_list.py
+++ b/basalthoist/endpoint_list.py
@@ -1,4 +1,7 @@
-"""The endpoint list as sent by discovery and as saved. The field names are those of the wire."""
+"""The endpoint list as sent by discovery and as saved.
+
+The names on the wire are those of the fields, except that `endpoints` is `members` there.
+"""
 
 import msgspec
 
--- a/basalthoist/fleet/bounds.py
+++ b/basalthoist/fleet/bounds.py
@@ -13,7 +13,7 @@
 
     lease: int  # duration of a voter's promise
     heartbeat_interval: int  # time between two heartbeats of the leader
-    fresh: int  # maximum age of a view that counts as in touch: A of docs/fleet.md
+    fresh: int  # a node is in touch if the leader confirmed its view within this time: A of docs/fleet.md
     stale: int  # age of a view beyond which a strict node stands by: B of docs/fleet.md
     drift: float  # maximum relative error of a clock's rate: rho of docs/fleet.md
     call_timeout: int  # how long a node retries an operator's call
@@ -49,6 +49,6 @@
     def max_remote_view_duration(self) -> int:
         """Returns an upper bound of how long a node may act on a confirmed view.
 
-        On the leader's clock, counted from when it received the reply that it confirms.
+        On the leader's clock, counted from when the leader received the reply that its heartbeat confirms.
         """
         return int(self.stale * (1 + self.drift) / (1 - self.drift)) + 1
--- a/basalthoist/fleet/election.py
+++ b/basalthoist/fleet/election.py
@@ -24,9 +24,9 @@
 class Election:
     """The current or the last candidacy. After a win its promises begin the leader's lease."""
 
-    def __init__(self, bounds: Bounds, me: str, voters: list[str], now: int) -> None:
+    def __init__(self, bounds: Bounds, own_name: str, voters: list[str], now: int) -> None:
         self.bounds: Bounds = bounds
-        self.me: str = me
+        self.own_name: str = own_name
         self.voters: list[str] = voters
         self.term: int = 0  # the term of the candidacy or of the leadership
         self.highest_seen_term: int = 0
@@ -39,7 +39,7 @@
     def start(self, now: int, above: int) -> None:
         """Starts a candidacy for this voter's next term above `above` and all terms seen so far."""
         above = max(above, self.highest_seen_term, self.term)
-        self.term = next_term(above, self.voters.index(self.me), len(self.voters))
+        self.term = next_term(above, self.voters.index(self.own_name), len(self.voters))
         self.began_at = now
         self.requested_at = DISTANT_PAST
         self.votes = {}
@@ -70,7 +70,7 @@
         """
         running = self.promises.running(now)
         votes = {name: self.votes[name] for name in running if name in self.votes}
-        votes[self.me] = own
+        votes[self.own_name] = own
         intact = [vote for vote in votes.values() if vote.intact]
         if len(intact) >= self.promises.quorum:
             best = max(intact)
--- a/basalthoist/fleet/handshakes.py
+++ b/basalthoist/fleet/handshakes.py
@@ -31,10 +31,10 @@
     latest request to the peer, with the nonce of that request.
     """
 
-    def __init__(self, me: str, incarnation: int, random: Lcg, min_interval: int) -> None:
-        self.me: str = me
+    def __init__(self, own_name: str, incarnation: int, rng: Lcg, min_interval: int) -> None:
+        self.own_name: str = own_name
         self.incarnation: int = incarnation
-        self.random: Lcg = random
+        self.rng: Lcg = rng
         self.min_interval: int = min_interval  # between two requests to the same peer
         self.incarnations: dict[str, int] = {}
         self.pending: dict[str, PendingHandshake] = {}
@@ -44,7 +44,7 @@
         pending = self.pending.get(name)
         if pending is not None and now - pending.sent_at < self.min_interval:
             return None
-        nonce = 1 + int(self.random.uniform() * NONCE_LIMIT)
+        nonce = 1 + int(self.rng.uniform() * NONCE_LIMIT)
         self.pending[name] = PendingHandshake(nonce, now)
         return HandshakeRequest(nonce)
 
--- a/basalthoist/fleet/leader.py
+++ b/basalthoist/fleet/leader.py
@@ -6,7 +6,7 @@
 from .operator_calls import UNTIL_IN_TOUCH, CallsInProgress
 from .outlier_reports import MAX_REPORTED, agreed_outliers
 from .quota_leases import Demand, QuotaLeaseGranter, QuotaLeaseHolder, rates_of
-from .replication import MAX_DELTA_BYTES, UNITS_PER_SECOND, Replication
+from .replication import MAX_DELTA_BYTES, SECOND, Replication
 from .verdicts import ENCODE, Verdict, VerdictSet
 from .wire import Heartbeat, HeartbeatReply
 
@@ -31,7 +31,7 @@
     def __init__(
         self,
         host: ReplicaHost,
-        me: str,
+        own_name: str,
         nodes: list[str],
         voters: list[str],
         bounds: Bounds,
@@ -41,7 +41,7 @@
         calls: CallsInProgress,
     ) -> None:
         self.host: ReplicaHost = host
-        self.me: str = me
+        self.own_name: str = own_name
         self.nodes: list[str] = nodes
         self.voters: list[str] = voters
         self.bounds: Bounds = bounds
@@ -66,7 +66,7 @@
         self.began_at = now
         self.heartbeat_at = DISTANT_PAST
         self.committed = -1
-        self.peers = {name: Peer() for name in self.nodes if name != self.me}
+        self.peers = {name: Peer() for name in self.nodes if name != self.own_name}
         self.queue = []
         self.calls.clear()
         self.granter = None
@@ -77,7 +77,7 @@
     def renew(self, now: int) -> bool:
         """Renews this voter's own promise. Returns whether the lease, a quorum's promises, still runs."""
         own_voter(self.voter).accept_leader(now, self.term)
-        self.promises.add(self.me, now)
+        self.promises.add(self.own_name, now)
         return self.promises.has_quorum(now)
 
     def advance(self, now: int) -> None:
@@ -115,9 +115,9 @@
 
     def plan_grants(self, now: int, granter: QuotaLeaseGranter, holder: QuotaLeaseHolder) -> None:
         """Plans the grants of all nodes, and applies those of this node."""
-        granter.on_demand(now, self.me, holder.report(now), now)
+        granter.on_demand(now, self.own_name, holder.report(now), now)
         granter.plan(now, rates_of(holder.limits, self.sets.applied))
-        holder.on_grants(now, granter.grants(now, self.me), now)
+        holder.on_grants(now, granter.grants(now, self.own_name), now)
 
     def commit(self, now: int) -> None:
         """Commits the proposal if a quorum has stored it, then proposes the queued changes."""
@@ -182,7 +182,7 @@
             for name, peer in self.peers.items()
             if peer.applied_version == self.committed and now - peer.reply_received_at <= self.bounds.fresh
         }
-        reports[self.me] = self.host.detected_outliers()
+        reports[self.own_name] = self.host.detected_outliers()
         return reports
 
     def may_apply_older(self, now: int, version: int) -> dict[str, int]:
@@ -240,7 +240,7 @@
 
     def status(self, now: int) -> str:
         """Returns the version that each node applies, for operators."""
-        rows = [f"{self.me} {self.sets.applied.version}"]
+        rows = [f"{self.own_name} {self.sets.applied.version}"]
         rows += [self.peer_status(now, name, self.peers[name]) for name in sorted(self.peers)]
         return ", ".join(rows)
 
@@ -250,4 +250,4 @@
         if peer.confirmed and now - peer.reply_received_at <= self.bounds.fresh:
             return f"{name} {version}"
         left = max(self.view_until(peer) - now, 0)
-        return f"{name} {version} out of touch {left / UNITS_PER_SECOND:.1f} s left"
+        return f"{name} {version} out of touch {left / SECOND:.1f} s left"
--- a/basalthoist/fleet/members.py
+++ b/basalthoist/fleet/members.py
@@ -13,7 +13,7 @@
 from .wire import Ack, MemberState, MemberUpdate, Ping
 
 ALIVE, SUSPECT, GONE = MemberState.ALIVE, MemberState.SUSPECT, MemberState.GONE
-UNITS_PER_SECOND = 10_000
+SECOND = 10_000
 MAX_UPDATES_PER_MESSAGE = 8
 MAX_INDIRECT_PROBES = 3  # members that are requested to probe a member that has not answered
 MAX_HEALTH_PENALTY = 8  # periods that are added to a period
@@ -73,19 +73,19 @@
     def __init__(
         self,
         host: MembersHost,
-        me: str,
+        own_name: str,
         incarnation: int,
         names: list[str],
         period: int,
-        random: Lcg,
+        rng: Lcg,
         now: int,
     ) -> None:
         self.host: MembersHost = host
-        self.me: str = me
+        self.own_name: str = own_name
         self.incarnation: int = incarnation
         self.period: int = period
-        self.random: Lcg = random
-        self.members: dict[str, Member] = {name: Member(name) for name in names if name != me}
+        self.rng: Lcg = rng
+        self.members: dict[str, Member] = {name: Member(name) for name in names if name != own_name}
         self.refutations: int = 0
         self.own_transmissions: int = 0  # how often the update about this node has been gossiped
         self.health_penalty: int = 0  # number of periods by which each period is extended
@@ -95,7 +95,7 @@
         self.probed_at: int = now
         self.probe_step: int = 1
         self.forwarded: dict[int, ForwardedProbe] = {}  # by this node's probe number
-        self.next_probe_at: int = now + int(period * random.uniform())
+        self.next_probe_at: int = now + int(period * rng.uniform())
         self.last_tick_at: int = now
 
     def present(self) -> list[str]:
@@ -106,7 +106,7 @@
         """Returns the member count and the missing members, for operators."""
         count = f"{len(self.present()) + 1} of {len(self.members) + 1} there"
         missing = [
-            f"{member.name} {STATE_TEXTS[member.state]} for {(now - member.since) / UNITS_PER_SECOND:.1f} s"
+            f"{member.name} {STATE_TEXTS[member.state]} for {(now - member.since) / SECOND:.1f} s"
             for member in self.members.values()
             if member.state is not ALIVE
         ]
@@ -189,7 +189,7 @@
         """Probes the next member of the round."""
         # Guards against a partition that never heals: members that are gone are still probed sometimes.
         while self.round and self.members[self.round[-1]].state is GONE:
-            if self.random.uniform() >= SKIP_GONE_PROBABILITY:
+            if self.rng.uniform() >= SKIP_GONE_PROBABILITY:
                 break
             self.round.pop()
         if not self.round:
@@ -203,7 +203,7 @@
         """Begins a round with all members in random order."""
         names = list(self.members)
         while names:
-            self.round.append(names.pop(int(self.random.uniform() * len(names))))
+            self.round.append(names.pop(int(self.rng.uniform() * len(names))))
 
     def probe(self, name: str) -> None:
         """Probes a member directly."""
@@ -213,7 +213,7 @@
         """Requests other members to probe the member that does not answer."""
         others = [name for name in self.present() if name != self.probed]
         for _ in range(min(MAX_INDIRECT_PROBES, len(others))):
-            other = others.pop(int(self.random.uniform() * len(others)))
+            other = others.pop(int(self.rng.uniform() * len(others)))
             self.host.send(other, Ping(self.probe_number, self.probed, self.gossip(other)))
 
     # Messages.
@@ -221,8 +221,8 @@
     def on_ping(self, now: int, name: str, ping: Ping) -> None:
         """Acknowledges a probe, or probes another member for the sender."""
         self.on_updates(now, ping.updates)
-        if ping.target == self.me:
-            self.host.send(name, Ack(ping.number, self.me, self.gossip(name)))
+        if ping.target == self.own_name:
+            self.host.send(name, Ack(ping.number, self.own_name, self.gossip(name)))
         elif ping.target in self.members:
             self.forward_probe(name, ping)
 
@@ -254,7 +254,7 @@
     def on_updates(self, now: int, updates: list[MemberUpdate]) -> None:
         """Processes the updates from another member's probe or ack."""
         for update in updates[:MAX_UPDATES_PER_MESSAGE]:
-            if update.name == self.me:
+            if update.name == self.own_name:
                 if update.incarnation == self.incarnation and update.state is not ALIVE:
                     self.refute(update.refutations)
             elif (member := self.members.get(update.name)) is not None:
@@ -317,7 +317,7 @@
         updates: list[MemberUpdate] = []
         max_transmissions = self.max_transmissions()
         if self.own_transmissions < max_transmissions:
-            updates.append(MemberUpdate(self.me, self.incarnation, self.refutations, ALIVE))
+            updates.append(MemberUpdate(self.own_name, self.incarnation, self.refutations, ALIVE))
             self.own_transmissions += 1
         recipient_member = self.members.get(recipient)
         if recipient_member is not None and recipient_member.state is not ALIVE:
--- a/basalthoist/fleet/operator_calls.py
+++ b/basalthoist/fleet/operator_calls.py
@@ -5,7 +5,7 @@
 
 from .bounds import DISTANT_PAST, Bounds
 from .host import ReplicaHost
-from .replication import UNITS_PER_SECOND, Replication
+from .replication import SECOND, Replication
 from .verdicts import Verdict
 from .wire import OperatorCall, OperatorReply
 
@@ -89,9 +89,9 @@
 class CallsInProgress:
     """The calls that the leader has accepted and not answered yet."""
 
-    def __init__(self, host: ReplicaHost, me: str, local: LocalCalls, max_verdicts: int) -> None:
+    def __init__(self, host: ReplicaHost, own_name: str, local: LocalCalls, max_verdicts: int) -> None:
         self.host: ReplicaHost = host
-        self.me: str = me
+        self.own_name: str = own_name
         self.local: LocalCalls = local
         self.max_verdicts: int = max_verdicts
         self.waiting: list[WaitingCall] = []
@@ -151,7 +151,7 @@
 
     def answer(self, name: str, call_id: int, text: str) -> None:
         """Answers a call that was made at the node `name`, which may be this one."""
-        if name == self.me:
+        if name == self.own_name:
             self.local.complete(call_id, text)
         else:
             self.host.send(name, OperatorReply(call_id, text))
@@ -181,7 +181,7 @@
 def late_text(version: int, late: dict[str, int]) -> str:
     """Returns the answer to a call whose version is committed, but not yet applied by all nodes."""
     longest = max(late.values())
-    how_long = f"for {longest / UNITS_PER_SECOND:.1f} s more"
+    how_long = f"for {longest / SECOND:.1f} s more"
     if min(late.values()) == UNTIL_IN_TOUCH:
         how_long = "until back in touch"
     return f"FAILURE version {version} kept, {' '.join(sorted(late))} may act on {version - 1} {how_long}"
--- a/basalthoist/fleet/quota_leases.py
+++ b/basalthoist/fleet/quota_leases.py
@@ -2,10 +2,10 @@
 
 The node counts a grant's duration from when it sent the reply that the grant answers. The leader counts from
 when it sends the grant, and adds the possible drift of the clocks. A node that receives grants lends its
-guaranteed rate for longer than a grant lasts; out of touch for that long, it has its guaranteed rate back.
-The leader grants only rates that no node can still use. So guaranteed rates in use and grants together are
-always within the limit: docs/fleet.md has the proof. Rates are per second, times are whole tenths of a
-millisecond of this node's clock.
+guaranteed rate for longer than a grant lasts; if it has been out of touch with the leader for that long, it
+uses its guaranteed rate again. The leader grants only rates that no node can still use. So guaranteed rates
+in use and grants together are always within the limit: docs/fleet.md has the proof. Rates are per second,
+times are whole tenths of a millisecond of this node's clock.
 """
 
 from typing import NamedTuple
@@ -13,10 +13,10 @@
 from .bounds import Bounds
 from .verdicts import QUOTA, VerdictSet
 
-UNITS_PER_SECOND = 10_000
+SECOND = 10_000  # in tenths of a millisecond
 DEMAND_WINDOW = 3_000  # period over which the demand is averaged
 DEMAND_MARGIN = 1.25  # factor on the demand; without it, grants would lag behind a growing demand
-GRANT_STEPS_PER_UNIT = 1000  # a granted rate is rounded down to a multiple of 1 / this
+RATE_STEPS_PER_REQUEST_PER_S = 1000  # granted rates are rounded down to 1/1000 request per second
 
 Rates = list[tuple[int, float]]  # the limit's index and a rate
 
@@ -73,7 +73,7 @@
         """Adds the tokens for the time since the last call."""
         granted = max(min(now, self.granted_until) - self.filled_at, 0)
         guaranteed = max(now - max(self.filled_at, self.guaranteed_from), 0)
-        added = (self.guaranteed_rate * guaranteed + self.granted_rate * granted) / UNITS_PER_SECOND
+        added = (self.guaranteed_rate * guaranteed + self.granted_rate * granted) / SECOND
         self.tokens = min(self.tokens + added, self.capacity)
         self.filled_at = now
 
@@ -95,7 +95,7 @@
         span = now - self.averaged_at
         if span > 0:
             weight = min(span / DEMAND_WINDOW, 1.0)
-            self.average_rate += (self.requests * UNITS_PER_SECOND / span - self.average_rate) * weight
+            self.average_rate += (self.requests * SECOND / span - self.average_rate) * weight
             self.requests, self.averaged_at = 0, now
         return DEMAND_MARGIN * self.average_rate
 
@@ -159,7 +159,7 @@
                 bucket.granted_rate, bucket.granted_until = rates.get(limit_index, 0.0), until
 
     def close(self, now: int) -> None:
-        """Gives up all grants at once, as later replies report. Called when the node stands by or drains."""
+        """Stops using all grants at once; later replies tell the leader so. Called on standby or draining."""
         self.closed = True
         for bucket in self.buckets:
             bucket.fill(now)
@@ -271,7 +271,7 @@
         outstanding = self.outstanding[limit_index]
         target = self.targets[limit_index].get(node, 0.0)
         rate = max(min(target, already_granted + max(self.free[limit_index], 0.0)), 0.0)
-        rate = int(rate * GRANT_STEPS_PER_UNIT) / GRANT_STEPS_PER_UNIT
+        rate = int(rate * RATE_STEPS_PER_REQUEST_PER_S) / RATE_STEPS_PER_REQUEST_PER_S
         self.free[limit_index] -= max(rate - already_granted, 0.0)
         # Earlier grants of the same or a lower rate need no record: this grant ends later.
         larger = [grant for grant in outstanding.get(node, ()) if grant.rate > rate]
--- a/basalthoist/fleet/replica.py
+++ b/basalthoist/fleet/replica.py
@@ -16,7 +16,7 @@
 from .lease import Voter, own_voter
 from .operator_calls import CallsInProgress, LocalCalls
 from .quota_leases import QuotaLeaseHolder
-from .replication import UNITS_PER_SECOND, Replication
+from .replication import SECOND, Replication
 from .verdicts import SnapshotFetch, Verdict, VerdictSet
 from .wire import (
     Heartbeat,
@@ -54,21 +54,21 @@
     def __init__(
         self,
         host: ReplicaHost,
-        me: str,
+        own_name: str,
         nodes: list[str],
         voters: list[str],
         bounds: Bounds,
-        random: Lcg,
+        rng: Lcg,
         now: int,
         hint: VerdictSet | None = None,
         holder: QuotaLeaseHolder | None = None,
     ) -> None:
         self.host: ReplicaHost = host
-        self.me: str = me
+        self.own_name: str = own_name
         self.voters: list[str] = voters
         self.bounds: Bounds = bounds
-        self.random: Lcg = random
-        self.voter: Voter | None = Voter(bounds, now) if me in voters else None
+        self.rng: Lcg = rng
+        self.voter: Voter | None = Voter(bounds, now) if own_name in voters else None
         self.term: int = 0  # the term of the latest leader that this node knows
         self.leader_name: str = ""  # empty where no leader is known
         self.leader_heard_at: int = now
@@ -77,12 +77,12 @@
         # When this node sent the latest reply that the leader has confirmed.
         self.view_confirmed_at: int = DISTANT_PAST
         self.holder: QuotaLeaseHolder | None = holder
-        self.election: Election = Election(bounds, me, voters, now)
+        self.election: Election = Election(bounds, own_name, voters, now)
         self.sets: Replication = Replication(host, holder, hint)
         self.calls: LocalCalls = LocalCalls(host, bounds)
-        in_progress = CallsInProgress(host, me, self.calls, bounds.max_verdicts)
+        in_progress = CallsInProgress(host, own_name, self.calls, bounds.max_verdicts)
         self.leader: Leader = Leader(
-            host, me, nodes, voters, bounds, self.voter, self.sets, holder, in_progress
+            host, own_name, nodes, voters, bounds, self.voter, self.sets, holder, in_progress
         )
         if hint is not None and not bounds.strict:
             self.sets.apply_hint(now, hint)
@@ -133,7 +133,7 @@
 
     def draw_election_timeout(self) -> int:
         """Returns a random timeout. Guards against voters that repeatedly stand at the same time."""
-        return int(self.bounds.lease * (0.7 + 0.8 * self.random.uniform()))
+        return int(self.bounds.lease * (0.7 + 0.8 * self.rng.uniform()))
 
     # The candidate.
 
@@ -158,14 +158,14 @@
             self.election.requested_at = now
             if not own_voter(self.voter).promise(now, self.election.term):
                 return self.withdraw(now, 0)
-            self.election.promises.add(self.me, now)
+            self.election.promises.add(self.own_name, now)
             self.send_to_voters(VoteRequest(self.election.term, now))
         self.count_votes(now)
 
     def send_to_voters(self, message: Message) -> None:
         """Sends a message to each other voter."""
         for name in self.voters:
-            if name != self.me:
+            if name != self.own_name:
                 self.host.send(name, message)
 
     def withdraw(self, now: int, remaining: int) -> None:
@@ -204,7 +204,7 @@
     def become_leader(self, now: int, verdicts: VerdictSet) -> None:
         """Becomes the leader, with the set that the votes have shown to be the latest."""
         self.role = LEADER
-        self.leader_name = self.me
+        self.leader_name = self.own_name
         self.term = self.election.term
         self.sets.fetch = None
         self.election.fetched = None
@@ -254,8 +254,8 @@
         if not self.calls.is_due(now, call_id):
             return
         if self.leads(now):
-            self.take_call(now, self.me, self.calls.message(now, call_id))
-        elif self.leader_name and self.leader_name != self.me:
+            self.take_call(now, self.own_name, self.calls.message(now, call_id))
+        elif self.leader_name and self.leader_name != self.own_name:
             self.host.send(self.leader_name, self.calls.message(now, call_id))
 
     def no_leader_text(self, now: int, was_forwarded: bool) -> str:
@@ -287,7 +287,7 @@
         head = f"author {self.leader_name or 'none'} ballot {self.term} version {applied.version}"
         head += f" {len(applied.verdicts)} verdicts"
         if self.role is not LEADER:
-            return f"{head}, {self.me} {self.view_text(now)}"
+            return f"{head}, {self.own_name} {self.view_text(now)}"
         return f"{head}: {self.leader.status(now)}"
 
     def view_text(self, now: int) -> str:
@@ -295,7 +295,7 @@
         if self.view_confirmed_at == DISTANT_PAST:
             return "never confirmed"
         state = "in touch" if self.is_fresh(now) else "stale" if self.is_stale(now) else "out of touch"
-        return f"{state}, confirmed {self.view_age(now) / UNITS_PER_SECOND:.1f} s ago"
+        return f"{state}, confirmed {self.view_age(now) / SECOND:.1f} s ago"
 
     # Messages.
 
@@ -449,7 +449,7 @@
 
     def on_delta(self, now: int, delta: SetDelta) -> None:
         """Processes a delta if it was requested or is the leader's latest proposal."""
-        is_proposal = delta.term == self.term and self.leader_name not in ("", self.me)
+        is_proposal = delta.term == self.term and self.leader_name not in ("", self.own_name)
         if self.sets.is_fetching(delta.digest) or is_proposal:
             verdicts = self.sets.on_delta(delta)
             if verdicts is not None:
--- a/basalthoist/fleet/replication.py
+++ b/basalthoist/fleet/replication.py
@@ -5,7 +5,7 @@
 from .verdicts import ENCODE, Changelog, SnapshotFetch, Verdict, VerdictSet
 from .wire import SetChunk, SetDelta, SetRequest
 
-UNITS_PER_SECOND = 10_000
+SECOND = 10_000
 MAX_DELTA_BYTES = 1100  # encoded changes; with the envelope they fit in one datagram
 MAX_CHUNKS_PER_ANSWER = 16
 CHUNKS_PER_REQUEST = 8  # chunks received before the next ones are requested
@@ -56,7 +56,7 @@
             return removals
         for key, verdict in self.applied.verdicts.items():
             since = self.first_stored_at.get(verdict, now)
-            if verdict.duration_s and now - since >= verdict.duration_s * UNITS_PER_SECOND:
+            if verdict.duration_s and now - since >= verdict.duration_s * SECOND:
                 removals.append(Verdict(*key, on=False, who="end", why="its time is over"))
         return removals
 
--- a/basalthoist/fleet/wire.py
+++ b/basalthoist/fleet/wire.py
@@ -101,7 +101,7 @@
     stored_version: int  # -1: the node has not stored a proposal of this term
     applied_version: int
     sent_at: int  # on the replying node's clock
-    voting: bool  # whether the reply renews a voter's promise: not before its silence at the start is over
+    voting: bool  # whether the reply renews a voter's promise; false for a while after the voter's start
     intact: bool  # whether the voter still has everything that it acknowledged
     outliers: list[str] = []  # backends that this node has ejected by its own detection
     demand: list[tuple[int, float]] = []  # requested rates by limit
@@ -216,5 +216,7 @@
 def decode(key: bytes, data: bytes) -> Envelope:
     """Returns the envelope. Raises MessageError for a datagram not sent by a node with this fleet's file."""
     if not CHECKSUM_BYTES < len(data) <= MAX_DATAGRAM_BYTES:
-        raise MessageError("not of a length that occurs")
+        raise MessageError(
+            f"expected {CHECKSUM_BYTES + 1} to {MAX_DATAGRAM_BYTES} bytes, got {len(data)} bytes"
+        )
     return open_sealed(key, data, DECODER)
--- a/basalthoist/gossip_codec.py
+++ b/basalthoist/gossip_codec.py
@@ -1,4 +1,4 @@
-"""Codec of the gossip between nodes, for sockets and for the simulation bench.
+"""Codec of the gossip between nodes, for sockets and for the simulator.
 
 A datagram is one byte with the version, then three bytes per message: the backend's key in two bytes, and
 one byte with the requests in flight in quarters. The three highest values of that byte encode the kinds of
--- a/basalthoist/message_envelope.py
+++ b/basalthoist/message_envelope.py
@@ -15,7 +15,7 @@
 
 
 def seal(key: bytes, payload: bytes) -> bytes:
-    """Returns `payload` after its checksum."""
+    """Returns the checksum followed by `payload`."""
     return blake2b(payload, digest_size=CHECKSUM_BYTES, key=key).digest() + payload
 
 
@@ -23,7 +23,7 @@
     """Returns the message in `sealed`. Raises MessageError for a wrong checksum or an unknown format."""
     checksum, payload = sealed[:CHECKSUM_BYTES], sealed[CHECKSUM_BYTES:]
     if blake2b(payload, digest_size=CHECKSUM_BYTES, key=key).digest() != checksum:
-        raise MessageError("damaged, or of another fleet or file")
+        raise MessageError("wrong checksum: damaged, or sent by another fleet or with another fleet file")
     try:
         return decoder.decode(payload)
     except (msgspec.DecodeError, RecursionError) as error:
--- a/basalthoist/settings_codec.py
+++ b/basalthoist/settings_codec.py
@@ -1,6 +1,6 @@
 """Translates settings to a flat map with the keys and units of the decisions.
 
-Used for the node's file and for the wire of the simulation bench. Unknown keys are passed on unchanged.
+Used for the node's file and for the text protocol of the simulator. Unknown keys are passed on unchanged.
 """
 
 from collections.abc import Iterator
@@ -21,7 +21,7 @@
 
 
 def parse_value(text: str) -> bool | int | float | str:
-    """Parses a value on the wire of the simulation bench."""
+    """Parses a value of the simulator's text protocol."""
     if text in ("true", "false"):
         return text == "true"
     for kind in (int, float):
@@ -38,6 +38,7 @@
     for pair in pairs:
         path, _, text = pair.partition("=")
         if path.rpartition(".")[2] == "fields":
+            # "-" stands for no field.
             value: Any = [field for field in text.split(",") if field and field != "-"]
         else:
             value = parse_value(text)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -170,8 +170,11 @@
         for data in (b"", b"y", b"z" * 3000, encode(b"other voters", envelope)):
             peer.sendto(data, address_of(nodes["n0"]))
         wait_for(lambda: "unknown sender" in program.log())
-        wait_for(lambda: "from n1: damaged, or of another fleet or file" in program.log())
-        wait_for(lambda: "from n1: not of a length that occurs" in program.log())
+        wrong_checksum = (
+            "from n1: wrong checksum: damaged, or sent by another fleet or with another fleet file"
+        )
+        wait_for(lambda: wrong_checksum in program.log())
+        wait_for(lambda: "from n1: expected 9 to 1400 bytes, got 3000 bytes" in program.log())
     assert program.process.poll() is None
     assert program.ask(request()).status == "503"
 
@@ -180,7 +183,7 @@
     key, data = b"k", encode(b"k", Envelope("n1", 5, "n0", 6, HandshakeReply(7)))
     assert decode(key, data).message == HandshakeReply(7)
     for at in range(len(data)):
-        with pytest.raises(ValueError, match="damaged"):
+        with pytest.raises(ValueError, match="wrong checksum: damaged"):
             decode(key, data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :])
 
 
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -256,7 +256,7 @@
         fleet.run(fleet.at + 2 * bounds.heartbeat_interval)
         fleet.call("n7" if "n7" not in isolated else "n8", number, [Verdict("ban", "s2")])
     assert any("shut out" in text for text in fleet.answers.values())
-    fleet.heal()
+    fleet.restore_links()
     fleet.run(fleet.at + 3 * bounds.lease)
     assert not [node for node in fleet.replica_nodes.values() if node.replica.sets.applied.version != 2]
 
@@ -285,7 +285,7 @@
         fleet.split([name], [n for n in fleet.names if n != name])
         fleet.call(leader_name, number, [Verdict("ban", f"s{number}")])
         fleet.run(fleet.at + 4 * bounds.lease)
-        fleet.heal()
+        fleet.restore_links()
         fleet.run(fleet.at + 6 * bounds.lease)
 
 
@@ -318,7 +318,7 @@
     fleet.run(fleet.at + bounds.lease // 2)
     fleet.kill(leader_name)
     fleet.restart(reset, keeps=False)
-    fleet.heal()
+    fleet.restore_links()
     fleet.run(fleet.at + 10 * bounds.lease)
     assert not fleet.leader()
     fleet.restart(leader_name)
@@ -415,7 +415,7 @@
     fleet.outliers[leader_name] = {"a"}
     fleet.run(fleet.at + 2 * OUTLIER_BOUNDS.lease)
     assert verdicts_of(fleet) == set()
-    fleet.heal()
+    fleet.restore_links()
     fleet.run(fleet.at + 2 * OUTLIER_BOUNDS.lease)
     assert verdicts_of(fleet) == {("sick", "a")}
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from basalthoist.emulator.rate_limits import LimitedReplicas, fairness, measured
+from basalthoist.emulator.rate_limits import LimitedReplicas, fairness, measure
 from basalthoist.emulator.replica_faults import FaultInjector
 from basalthoist.emulator.replicas import Broken
 from basalthoist.fleet import leader
@@ -142,7 +142,7 @@
         fleet.split([name], [other for other in fleet.names if other != name])
         fleet.loads = {fleet.leader(): 400.0}
         fleet.run(fleet.at + 2 * fleet.bounds.grant_duration)
-        fleet.heal()
+        fleet.restore_links()
         fleet.run(fleet.at + 2 * fleet.bounds.lease)
 
 
@@ -215,7 +215,7 @@
 
 
 def test_measured_fairness_shift_time_and_traffic():
-    found = measured(9)
+    found = measure(9)
     assert found["worst"] <= 1.0 + 1e-6 and found["shift_s"] <= 2.0
     assert found["jain"] > 0.98 and found["other_bytes_s"] < found["author_bytes_s"] < 20_000
 
--- a/tests/test_wire_forms.py
+++ b/tests/test_wire_forms.py
@@ -535,7 +535,7 @@
 
 
 def test_spilled_request_headers_unchanged():
-    """Guards against a site of another version that wait_for_spill_offer an already spilled request again."""
+    """Guards against a site of another version that spills an already spilled request again."""
     sites = SimpleNamespace(round_trip_to=lambda gateway: 30)
     at_west = SimpleNamespace(own_site="west", links={"site:east:0": "east/0"}, sites=sites)
     marks = b"Site-Hops: 1\r\nSite-From: west\r\n"
