--- a/basalthoist/decisions/profile.py
+++ b/basalthoist/decisions/profile.py
@@ -10,8 +10,8 @@
 MIN_SAMPLES = 4
 POINT_LIFETIME = 30 * SECOND
 POINT_HALF_LIFE = 5 * SECOND  # of the weight of a point's samples
-# Each measured mean is blended with the mean of the machine kind or of the subset, which weighs as much as this
-# many samples.
+# Each measured mean is blended with the mean of the machine kind or of the subset. This is the weight of the
+# latter, in samples.
 PRIOR_SAMPLES = 3.0
 MIN_RATE = 0.01  # requests per second
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -170,10 +170,12 @@
         for data in (b"", b"y", b"z" * 3000, encode(b"other voters", envelope)):
             peer.sendto(data, address_of(nodes["n0"]))
         wait_for(lambda: "unknown sender" in program.log())
-        wrong_checksum = (
-            "from n1: wrong checksum: damaged, or sent by another fleet or with another fleet file"
+        wait_for(
+            lambda: (
+                "from n1: wrong checksum: damaged, or sent by another fleet or with another fleet file"
+                in program.log()
+            )
         )
-        wait_for(lambda: wrong_checksum in program.log())
         wait_for(lambda: "from n1: expected 9 to 1400 bytes, got 3000 bytes" in program.log())
     assert program.process.poll() is None
     assert program.ask(request()).status == "503"
