--- a/basalthoist/decisions/rotation.py
+++ b/basalthoist/decisions/rotation.py
@@ -131,7 +131,8 @@
     def max_report_age(self, now: int, checking: bool) -> float:
         """Returns the report age above which a backend is skipped.
 
-        Infinite if there are no health checks, or if none returned a load report in the last second.
+        Without `checking` it is infinite if there are no health checks, or if none returned a load report in
+        the last second.
         """
         if checking:
             return REPORT_LIFETIME
