--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -84,7 +84,7 @@
 def test_start_fails_and_names_key_of_invalid_fleet_file(start, tmp_path, more, expected):
     path = fleet_file(tmp_path, **more)
     program, _, _ = start(reply(), wait=False, environment={"PROXY_FLEET": path})
-    line = program.ends_at_once()
+    line = program.wait_refused_start()
     assert expected in line and path in line
 
 
