--- a/basalthoist/commands/distribute.py
+++ b/basalthoist/commands/distribute.py
@@ -49,8 +49,8 @@
     if voters > machines:
         fail(f"--voters: expected at most {machines} machines, got {voters}")
     workers = max(1, min(12, nodes // 25))
-    size = Size(nodes, machines, voters, workers).part(share)
-    result = play.carry_out(size, part, seed, into, click.echo, limit)
+    size = Size(nodes, machines, voters, workers).scaled(share)
+    result = play.run_part(size, part, seed, into, click.echo, limit)
     reporting.write(into)
     void = [phase["name"] for phase in result["phases"] if phase["void"]]
     for name in void:
--- a/basalthoist/commands/fleet.py
+++ b/basalthoist/commands/fleet.py
@@ -58,7 +58,7 @@
     from basalthoist.experiments.cluster import show, timeline
 
     try:
-        plan = timeline.read(path) if path is not None else show.TOLD
+        plan = timeline.read(path) if path is not None else show.DEMO_TIMELINE
     except ScenarioError as error:
         fail(error)
     sizes = f"{plan.nodes} nodes, {plan.voters} voters, {plan.backends} backends"
@@ -98,7 +98,7 @@
     click.echo(f"a request spends {cost.view_check_us():.2f} us to check that its node may forward")
     click.echo(f"a change of 4096 verdicts takes {cost.verdict_change_ms():.1f} ms at each node")
     for nodes in COST_SIZES:
-        leader, other = cost.words(nodes)
+        leader, other = cost.bytes_per_s(nodes)
         rates = f"{leader:.0f} bytes per second, each of the others {other:.0f}"
         click.echo(f"{nodes} nodes: the leader sends {rates}")
     for figure, (mean, baseline) in cost.compare(pairs, click.echo).items():
@@ -127,13 +127,13 @@
         run_count += 1
         worst_s = max(worst_s, result.get("worst_s", 0.0))
         if folder is not None and "calls" in result:
-            account.keep(folder, result)
+            account.append_result(folder, result)
         if not result["broken"]:
             continue
         broken += 1
         timeline = msgspec.convert(result["timeline"], Timeline)
         click.echo(f"seed {timeline.seed} breaks: {result['broken'][0]}")
-        timeline = searching.least(timeline, searching.find_violations, click.echo)
+        timeline = searching.shrink(timeline, searching.find_violations, click.echo)
         path = save_finding(into, "timeline", timeline)
         click.echo(f"{path}: {len(timeline.events)} events left")
     if folder is not None:
--- a/basalthoist/commands/soak.py
+++ b/basalthoist/commands/soak.py
@@ -26,14 +26,17 @@
     The exit code is 1 if a rule is broken. The seed, the request's id and its path are printed; the seed
     reproduces the run."""
     from basalthoist.experiments.soak.broken import VARIANTS
-    from basalthoist.experiments.soak.plan import drawn
+    from basalthoist.experiments.soak.plan import generate_plan
     from basalthoist.experiments.soak.playing import play
 
     if broken and broken not in VARIANTS:
         fail(f"--broken: expected one of {', '.join(VARIANTS)}, got {broken!r}")
     failed = 0
     with ThreadPoolExecutor(side_by_side) as pool:
-        plans = [msgspec.structs.replace(drawn(seed), quiet_s=quiet) for seed in range(first, first + seeds)]
+        plans = [
+            msgspec.structs.replace(generate_plan(seed), quiet_s=quiet)
+            for seed in range(first, first + seeds)
+        ]
         for result in pool.map(lambda plan: play(plan, broken), plans):
             click.echo(result.line())
             failed += bool(result.breaks)
--- a/basalthoist/distribution/catalogue.py
+++ b/basalthoist/distribution/catalogue.py
@@ -82,7 +82,10 @@
 
 
 def is_identical(entry: Entry | None, other: Entry) -> bool:
-    """Returns whether two entries are equal and also have the same encoding, which 1 and 1.0 do not."""
+    """Returns whether two entries are equal and also have the same encoding.
+
+    A body with 1 and one with 1.0 compare equal but are encoded differently.
+    """
     return entry == other and ENCODE(entry) == ENCODE(other)
 
 
--- a/basalthoist/distribution/leader_session.py
+++ b/basalthoist/distribution/leader_session.py
@@ -69,7 +69,7 @@
         voters: list[str],
         bounds: Bounds,
         store: Store,
-        random: Lcg,
+        rng: Lcg,
         now: int,
     ) -> None:
         self.host = host
@@ -79,10 +79,10 @@
         self.voters = voters
         self.bounds = bounds
         self.store = store
-        self.connection = PeerConnection(host, bounds, random, now)
+        self.connection = PeerConnection(host, bounds, rng, now)
         self.confirmed_at = DISTANT_PAST  # the latest time at which the view is known to have been current
         self.leader = ""  # the leader's address as a voter has named it; empty if unknown
-        self.next_voter = int(random.uniform() * len(voters))
+        self.next_voter = int(rng.uniform() * len(voters))
         self.max_sessions = 0  # the leader's limit for the relay of this process; 0 stands for no limit
         self.calls: dict[int, PendingCall] = {}
 
--- a/basalthoist/distribution/peer_connection.py
+++ b/basalthoist/distribution/peer_connection.py
@@ -26,10 +26,10 @@
 class PeerConnection:
     """Decides when to connect and when to send heartbeats. Times are those of the local clock."""
 
-    def __init__(self, host: ConnectionHost, bounds: Bounds, random: Lcg, now: int) -> None:
+    def __init__(self, host: ConnectionHost, bounds: Bounds, rng: Lcg, now: int) -> None:
         self.host = host
         self.bounds = bounds
-        self.random = random
+        self.rng = rng
         self.address = ""  # the peer's address from the start of the attempt; empty without a connection
         self.is_established = False  # the peer has accepted the session
         self.consecutive_failures = 0
@@ -81,8 +81,8 @@
             self.bounds.max_backoff,
         )
         self.consecutive_failures += 1
-        self.next_attempt_at = now + int(longest * self.random.uniform())
+        self.next_attempt_at = now + int(longest * self.rng.uniform())
 
     def retry_soon(self, now: int) -> None:
         """Schedules the next attempt after the shortest backoff, as a redirect has named the peer to use."""
-        self.next_attempt_at = now + int(self.bounds.backoff * self.random.uniform())
+        self.next_attempt_at = now + int(self.bounds.backoff * self.rng.uniform())
--- a/basalthoist/distribution/store.py
+++ b/basalthoist/distribution/store.py
@@ -157,8 +157,9 @@
     def take_update(self, message: Snapshot | Delta) -> list[Entry] | None:
         """Applies an update and returns the entries that it changed.
 
-        Returns None for an update that is not newer, does not start at the committed version, or whose
-        entries do not match its digest.
+        Returns None for a delta that is not newer or does not start at the committed version, for a snapshot
+        that is older or is the committed version itself, and for an update whose entries do not match its
+        digest. A snapshot of the committed version with another digest is applied.
         """
         entries = (
             self.changes_of_delta(message)
@@ -204,7 +205,8 @@
             if entry.kind == TENANT and self.tenant_filter is not None:
                 self.tenant_filter.record(entry.name, entry.on, previous is not None)
 
-    # Updates for subscribers that are behind. `scopes` None stands for all scopes, for another store.
+    # Updates for subscribers that are behind. `scopes` is None for the store of another relay, which has
+    # all scopes.
 
     def digest_of(self, scopes: Scopes | None) -> bytes:
         """Returns the digest that a subscriber of these scopes has at the committed version."""
@@ -216,7 +218,9 @@
         return digest
 
     def update_for(self, scopes: Scopes | None, version: int) -> EncodedMessage | None:
-        """Returns the update from `version` to the committed one: a delta or a snapshot if that is smaller.
+        """Returns the update from `version` to the committed one: a delta or a snapshot.
+
+        The update is a snapshot if that is smaller or the history no longer reaches back to `version`.
 
         Returns None for a subscriber that is up to date or ahead.
         """
@@ -246,7 +250,7 @@
         catalogue = self.catalogue
         if scopes is None:
             return 0, sum(catalogue.scope_bytes.values()) + ESTIMATED_TENANT_BYTES * len(catalogue.tenants)
-            # A node's snapshot does not contain the names of tenants, so the filter is sent with it.
+        # A node's snapshot does not contain the names of tenants, so the filter is sent with it.
         names_bytes = len(self.filter_message()) if catalogue.tenants else 0
         return names_bytes, names_bytes + sum(catalogue.scope_bytes.get(scope, 0) for scope in {"", *scopes})
 
@@ -295,7 +299,8 @@
 
     def pending_record(self) -> bytes:
         """Returns the record of the latest pending change, to be appended to the file."""
-        # `pending` is None if the change was refused, as of an earlier term: `replay` ends at such a record.
+        # The publisher calls this even if its change was refused because a later term is known. `pending` may
+        # then be None. Such a record cannot be decoded, so `replay` ends at it.
         record = to_record(ENCODE(StoredChange(self.term, self.pending)))  # type: ignore[arg-type]
         self.appended_bytes += len(record)
         return record
--- a/basalthoist/distribution/subscriber.py
+++ b/basalthoist/distribution/subscriber.py
@@ -59,7 +59,7 @@
         scopes: list[str],
         seeds: list[str],
         bounds: Bounds,
-        random: Lcg,
+        rng: Lcg,
         now: int,
         hint: Catalogue | None = None,
     ) -> None:
@@ -70,9 +70,9 @@
         self.scopes = sorted({"", *scopes})
         self.seeds = seeds
         self.bounds = bounds
-        self.random = random
+        self.rng = rng
         self.catalogue = hint or Catalogue(-1)
-        self.connection = PeerConnection(host, bounds, random, now)
+        self.connection = PeerConnection(host, bounds, rng, now)
         self.confirmed_at = DISTANT_PAST  # the latest time at which the view is known to have been current
         self.tenants = TenantCache(self, bounds)
         self.acting_version = self.version  # the version of all entries here, cached tenants included
@@ -155,7 +155,7 @@
 
     def draw_preferred_interval(self) -> int:
         """Returns a random time after which to return to the preferred relay; spreads out the nodes."""
-        return int(self.bounds.preferred_relay_interval * (0.5 + self.random.uniform()))
+        return int(self.bounds.preferred_relay_interval * (0.5 + self.rng.uniform()))
 
     def return_to_preferred(self, now: int) -> None:
         """Moves to a relay preferred to the current one, less and less often while those are full."""
--- a/basalthoist/distribution/tenants.py
+++ b/basalthoist/distribution/tenants.py
@@ -1,7 +1,8 @@
 """Tenants at a node: the filter of all tenants' names, and a cache of entries.
 
-Requests never wait for an entry to arrive. The Bloom filter (1970) derives its hashes from two (Kirsch and
-Mitzenmacher 2006); it may report a name that does not exist as existing, never the reverse.
+Requests never wait for an entry to arrive. The Bloom filter (1970) derives all its bit positions from two
+hashes (Kirsch and Mitzenmacher 2006). The filter may report a name that does not exist as existing, never the
+reverse.
 """
 
 from collections import OrderedDict
--- a/basalthoist/distribution/wire.py
+++ b/basalthoist/distribution/wire.py
@@ -145,7 +145,7 @@
 
     call_id: int
     entries: list[Entry]
-    timeout: int
+    timeout: int  # how long the caller still waits, in tenths of a millisecond
 
 
 class OperatorReply(msgspec.Struct, array_like=True, tag=14):
@@ -200,7 +200,7 @@
     if len(sealed) > MAX_FRAME_BYTES:
         raise MessageError(
             f"expected a frame of at most {MAX_FRAME_BYTES} bytes, "
-            f"got {type(message).__name__} of {len(payload)}"
+            f"got {type(message).__name__} with a payload of {len(payload)} bytes"
         )
     return len(sealed).to_bytes(LENGTH_BYTES, "big") + sealed
 
--- a/basalthoist/experiments/cluster/account.py
+++ b/basalthoist/experiments/cluster/account.py
@@ -14,7 +14,7 @@
 RAW = "raw.jsonl"
 
 
-def keep(folder: Path, result: dict) -> None:
+def append_result(folder: Path, result: dict) -> None:
     """Appends a result as one line. Calls are stored in full, so that every figure can be recomputed."""
     folder.mkdir(parents=True, exist_ok=True)
     with (folder / RAW).open("ab") as file:
--- a/basalthoist/experiments/cluster/cost.py
+++ b/basalthoist/experiments/cluster/cost.py
@@ -59,7 +59,7 @@
     return differences
 
 
-def words(nodes: int, seconds: int = 20) -> tuple[float, float]:
+def bytes_per_s(nodes: int, seconds: int = 20) -> tuple[float, float]:
     """Returns the bytes a second of the leader and, as a mean, of the others, without changes or faults."""
     fleet = ByteCountingReplicas(nodes, 5, 1, USUAL_BOUNDS)
     fleet.run(5 * USUAL_BOUNDS.lease)
--- a/basalthoist/experiments/cluster/rig.py
+++ b/basalthoist/experiments/cluster/rig.py
@@ -123,8 +123,9 @@
     def __init__(
         self, timeline: Timeline, folder: Path, say=lambda line: None, without_fleet: bool = False
     ) -> None:
-        self.timeline, self.folder, self.say = timeline, folder, say
-        self.rng, self.without_fleet = Random(timeline.seed), without_fleet
+        self.timeline, self.folder, self.say, self.rng, self.without_fleet = (
+            timeline, folder, say, Random(timeline.seed), without_fleet
+        )  # fmt: skip
         self.runs: list[checker.Execution] = []
         self.calls: list[checker.OperatorCall] = []
         self.failing = Counter()  # by backend and node: events that make the backend fail for that node
@@ -328,8 +329,10 @@
 
         Returns the last answer to `fleet-status` where that does not happen in time, or else nothing.
         """
-        wait_s = 8 * self.timeline.lease_s + 3 * self.timeline.stale_s
-        until, findings = self.elapsed_s() + wait_s, ["fleet-status: not called"]
+        until, findings = (
+            self.elapsed_s() + 8 * self.timeline.lease_s + 3 * self.timeline.stale_s,
+            ["fleet-status: not called"],
+        )
         while self.elapsed_s() < until:
             text = await self.nodes[0].call("fleet-status", 1.0)
             findings = [f"fleet-status: {text}"]
--- a/basalthoist/experiments/cluster/searching.py
+++ b/basalthoist/experiments/cluster/searching.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from .rig import play
-from .timeline import Timeline, drawn
+from .timeline import Timeline, generate_timeline
 
 Check = Callable[[Timeline], list[str]]
 
@@ -25,7 +25,7 @@
         return {"broken": [f"rig failed: {error}"], "timeline": msgspec.to_builtins(timeline)}
 
 
-def least(timeline: Timeline, find: Check, say: Callable[[str], None] = lambda line: None) -> Timeline:
+def shrink(timeline: Timeline, find: Check, say: Callable[[str], None] = lambda line: None) -> Timeline:
     """Returns the shortest timeline found that still has a violation.
 
     Removes each event, machine and ban that is not needed for it, and halves the duration of the faults.
@@ -54,8 +54,8 @@
     until = time.monotonic() + seconds
     with ProcessPoolExecutor(processes) as pool:
         seeds = iter(range(first, first + count))
-        waiting = [pool.submit(run_timeline, drawn(seed)) for seed in islice(seeds, processes)]
+        waiting = [pool.submit(run_timeline, generate_timeline(seed)) for seed in islice(seeds, processes)]
         while waiting:
             yield waiting.pop(0).result()
             if time.monotonic() < until and (seed := next(seeds, None)) is not None:
-                waiting.append(pool.submit(run_timeline, drawn(seed)))
+                waiting.append(pool.submit(run_timeline, generate_timeline(seed)))
--- a/basalthoist/experiments/cluster/show.py
+++ b/basalthoist/experiments/cluster/show.py
@@ -11,7 +11,7 @@
 ACTS = re.compile(r"(n\d+): fleet: acts on version (\d+)")
 VIEW_CHANGE = re.compile(r"(n\d+): (view (?:stale|confirmed), version \d+.*|author .*)")
 
-TOLD = Timeline(
+DEMO_TIMELINE = Timeline(
     name="shown", length_s=17.0,
     bans=[Ban(1.5, 0), Ban(4.5, 1, 2), Ban(10.5, 2, 1), Ban(14.0, 0, 3, False)],
     events=[Event("cut", 3.5, 4.0, [4]), Event("freeze", 9.5, 3.0, ["author"])],
--- a/basalthoist/experiments/cluster/timeline.py
+++ b/basalthoist/experiments/cluster/timeline.py
@@ -114,7 +114,7 @@
     return decode(text_of(path), str(path), Timeline)
 
 
-def drawn(seed: int, nodes: int = 0, length_s: float = 12.0) -> Timeline:
+def generate_timeline(seed: int, nodes: int = 0, length_s: float = 12.0) -> Timeline:
     """Generates a timeline from a seed: two to five faults, which may overlap, and calls between them.
 
     `nodes` 0: five to nine, random as well.
@@ -146,4 +146,4 @@
                     limit=rng.choice((0.0, 60.0)), burst=14.0)  # fmt: skip
 
 
-__all__ = ["Ban", "Event", "Machine", "ScenarioError", "Timeline", "drawn", "read"]
+__all__ = ["Ban", "Event", "Machine", "ScenarioError", "Timeline", "generate_timeline", "read"]
--- a/basalthoist/experiments/distributed/aside.py
+++ b/basalthoist/experiments/distributed/aside.py
@@ -21,11 +21,13 @@
         link = self.leader_link
         self.original_connect, self.original_send = link.connect, link.send
         link.connect, link.send = self.connect, self.send_to_leader
-        if self.voting is not None:
-            voting = self.voting
-            self.original_post, self.original_receive = voting.post, voting.datagram_received
-            voting.post = lambda *arguments: None if self.is_partitioned else self.original_post(*arguments)
-            voting.datagram_received = (
+        if self.register_voter is not None:
+            register_voter = self.register_voter
+            self.original_post, self.original_receive = register_voter.post, register_voter.datagram_received
+            register_voter.post = (
+                lambda *arguments: None if self.is_partitioned else self.original_post(*arguments)
+            )
+            register_voter.datagram_received = (
                 lambda *arguments: None if self.is_partitioned else self.original_receive(*arguments)
             )
 
--- a/basalthoist/experiments/distributed/hollow.py
+++ b/basalthoist/experiments/distributed/hollow.py
@@ -67,7 +67,7 @@
             self.first_entries_at = time.monotonic()
         self.acted_version = version
 
-    def look(self) -> None:
+    def on_view_checked(self) -> None:
         if not self.confirmed_at and self.subscriber.may_forward_requests(boot_time_now()):
             self.confirmed_at = time.monotonic()
 
--- a/basalthoist/experiments/distributed/play.py
+++ b/basalthoist/experiments/distributed/play.py
@@ -495,7 +495,7 @@
          "behind": ["behind"]}  # fmt: skip
 
 
-def carry_out(size: Size, part: str, seed: int, into: Path, say: Callable, limit_s: float) -> dict:
+def run_part(size: Size, part: str, seed: int, into: Path, say: Callable, limit_s: float) -> dict:
     """Runs a part and stores its raw result, also where the part was not completed in time."""
     import uvloop
 
--- a/basalthoist/experiments/distributed/sizes.py
+++ b/basalthoist/experiments/distributed/sizes.py
@@ -19,7 +19,7 @@
     tenants: int = 200_000
     backends: int = 32_000
 
-    def part(self, percent: float) -> "Size":
+    def scaled(self, percent: float) -> "Size":
         """Returns this size with a catalogue of so many percent."""
         counts = (self.services, self.routes, self.tenants, self.backends)
         services, routes, tenants, backends = (max(int(count * percent / 100), 10) for count in counts)
--- a/basalthoist/experiments/soak/clients.py
+++ b/basalthoist/experiments/soak/clients.py
@@ -17,8 +17,9 @@
     def __init__(
         self, plan: Plan, number: int, surroundings, address: tuple[str, int], started_at: float
     ) -> None:
-        self.plan, self.name, self.surroundings = plan, f"c{number}", surroundings
-        self.address, self.started_at = address, started_at
+        self.plan, self.name, self.surroundings, self.address, self.started_at = (
+            plan, f"c{number}", surroundings, address, started_at
+        )  # fmt: skip
         self.rng, self.count = Random(f"{plan.seed} {number}"), 0
         self.killed = False
 
--- a/basalthoist/experiments/soak/plan.py
+++ b/basalthoist/experiments/soak/plan.py
@@ -64,7 +64,7 @@
         return self.load_s + CONNECTS_AFTER_SIGTERM_S
 
 
-def drawn(seed: int) -> Plan:
+def generate_plan(seed: int) -> Plan:
     rng = Random(seed)
     deadline_s = rng.choice((0.3, 0.5, 0.9, 0.9, 1.5, 3.0))
     load_s = round(rng.uniform(1.5, 3.0), 2)
--- a/basalthoist/gateway/links.py
+++ b/basalthoist/gateway/links.py
@@ -63,7 +63,7 @@
         self.links: dict[str, str] = {}  # gateway name by the name of a listed link
         self.heartbeat_period: int = int(document.beat_s * SECOND)  # tenths of a millisecond
         for name, address in self.addresses.items():
-            upstream.learn(f"gateway:{name}", address, None)
+            upstream.add_or_update_backend(f"gateway:{name}", address, None)
         dispatcher.links = self
         timers.every(self.heartbeat_period, self.send_heartbeats)
         self.send_heartbeats()
@@ -119,7 +119,7 @@
         endpoints += [self.endpoint_of(link) for link in changed]
         self.links = links
         for link in changed:
-            self.upstream.learn(link, self.addresses[links[link]], None)
+            self.upstream.add_or_update_backend(link, self.addresses[links[link]], None)
         self.dispatcher.on_endpoint_list(endpoints, False)
         for link in removed:
             self.upstream.remove(link)
--- a/basalthoist/jsonrpc/client_connection.py
+++ b/basalthoist/jsonrpc/client_connection.py
@@ -48,7 +48,7 @@
         A queued or attempted call checks that its client still waits. A client that sent a notification may
         close without having disconnected, since it waits for no response.
         """
-        was_queued = self.request.calls or now() - self.request.came_at > QUEUED_AFTER
+        was_queued = self.request.calls or now() - self.request.arrived_at > QUEUED_AFTER
         return (
             self.connection.has_disconnected() if self.call_id and was_queued else self.connection.is_broken()
         )
@@ -92,7 +92,7 @@
         self.pending: bytes = b""  # bytes read and not yet parsed
         self.last_progress_at: int = now()
         self.arrivals: Arrivals = Arrivals()
-        self.came_at: int = self.last_progress_at  # arrival time of the line that is being parsed
+        self.arrived_at: int = self.last_progress_at  # arrival time of the line that is being parsed
         self.callers: dict[Caller, None] = {}
         self.call_ids: set[bytes] = set()  # ids of the calls in progress
         self.write_buffer_full: bool = False
@@ -184,7 +184,7 @@
             if end < 0:
                 break
             line, self.pending = self.pending[:end].strip(), self.pending[end + 1 :]
-            self.came_at = self.arrivals.arrival_of_last_byte(len(self.pending))
+            self.arrived_at = self.arrivals.arrival_of_last_byte(len(self.pending))
             if line:
                 self.handle_line(line)
         self.update_reading()
@@ -272,7 +272,7 @@
         if self.input_ended:
             self.transport.close()
         elif self.front_end.shutdown.drain_grace_over and (
-            self.front_end.shutdown.time_is_up or self.is_idle()
+            self.front_end.shutdown.answer_time_over or self.is_idle()
         ):
             self.end_output()
 
@@ -283,7 +283,7 @@
     def may_end(self) -> bool:
         """Whether the shutdown can end this connection now."""
         shutdown = self.front_end.shutdown
-        return shutdown.drain_grace_over and (shutdown.time_is_up or self.is_idle())
+        return shutdown.drain_grace_over and (shutdown.answer_time_over or self.is_idle())
 
     def end_output(self) -> None:
         """Ends the sending direction and drops further input until the client closes.
@@ -295,14 +295,14 @@
             self.transport.resume_reading()
             self.transport.write_eof()
 
-    def close_for_shutdown(self, last: bool) -> None:
-        """Answers every call because the process ends. `last`: the client had time to close."""
+    def close_for_shutdown(self, close_grace_over: bool) -> None:
+        """Answers every call because the process ends. `close_grace_over`: the client had time to close."""
         for caller in list(self.callers):
             if caller.request is not None:
                 self.front_end.dispatcher.end_unanswered(caller.request)
         self.advance()
         self.end_if_done()
-        if last and self.output_ended and not self.transport.get_write_buffer_size():
+        if close_grace_over and self.output_ended and not self.transport.get_write_buffer_size():
             self.transport.abort()
 
     def check_time(self, at: int) -> None:
--- a/basalthoist/jsonrpc/front_end.py
+++ b/basalthoist/jsonrpc/front_end.py
@@ -80,11 +80,11 @@
         route_number, route = self.methods[call.method]
         timeout = route.overall_timeout // 100 or SECOND
         number, params = self.dispatcher.next_number(), bytes(call.params)
-        came_at = caller.connection.came_at
+        arrived_at = caller.connection.arrived_at
         # The deadline counts from arrival, since the client has waited while the call waited behind others.
-        deadline = self.dispatcher.cap_deadline(came_at + timeout)
+        deadline = self.dispatcher.cap_deadline(arrived_at + timeout)
         request = JsonProxiedRequest(number, caller, call.method, params, deadline)
-        request.came_at = came_at
+        request.arrived_at = arrived_at
         caller.request = request
         self.dispatcher.begin(request, route_number, self.tenant, False)
 
--- a/basalthoist/jsonrpc/upstream.py
+++ b/basalthoist/jsonrpc/upstream.py
@@ -30,7 +30,7 @@
         self.pending: bytes = b""
         self.expected_id: str = ""  # id of the call in progress
         self.on_head = None
-        self.came_at: int = 0
+        self.arrived_at: int = 0
 
     def idle(self) -> bool:
         """Whether no part of a line has been received."""
@@ -39,7 +39,7 @@
     def feed(self, data: bytes, now: int) -> None:
         """Adds data that the connection has read at `now`."""
         self.pending = self.pending + data if self.pending else data
-        self.came_at = now
+        self.arrived_at = now
 
     def next(self) -> Message | None:
         """Returns the next response, or None until its line is complete. Raises BadMessage."""
@@ -56,7 +56,7 @@
         message = Message()
         message.status = response.status
         message.body = response.member
-        message.came_at = self.came_at
+        message.arrived_at = self.arrived_at
         if response.never_started:
             message.headers.append((b"not-started", b"1"))
         if response.in_flight is not None:
--- a/basalthoist/net/clients/disconnects.py
+++ b/basalthoist/net/clients/disconnects.py
@@ -14,7 +14,9 @@
 
 
 class DisconnectMonitor:
-    """Polls all clients whose reading is paused by one system call. Without such clients no timer runs.
+    """Polls, with one system call, all clients from which reading is paused.
+
+    Without such clients no timer runs.
 
     POLLRDHUP reports the end of a connection even behind unread bytes, once they are in the kernel's buffer.
     """
--- a/basalthoist/net/clients/http_connection.py
+++ b/basalthoist/net/clients/http_connection.py
@@ -288,7 +288,7 @@
         """Returns whether to close after this response: the node drains and no other request has arrived."""
         if not self.front_end.draining or not self.reader.idle():
             return False
-        return self.front_end.shutdown.time_is_up or not self.has_unread_input()
+        return self.front_end.shutdown.answer_time_over or not self.has_unread_input()
 
     def after_response(self) -> None:
         """Closes the connection, starts its next request, or marks it as idle."""
@@ -346,10 +346,11 @@
         self.finished = True
         self.transport.close()
 
-    def close_for_shutdown(self, last: bool) -> None:
+    def close_for_shutdown(self, close_grace_over: bool) -> None:
         """Answers an unanswered request now, as the process ends, and closes the connection.
 
-        `last`: the time that a client has to close after its response is over, so the connection is aborted.
+        `close_grace_over`: the time that a client has to close after its response has passed, so the
+        connection is aborted.
         """
         if self.transport.is_closing():
             return
@@ -359,7 +360,7 @@
         elif self.transport.get_write_buffer_size():
             pass  # a response is being written
         elif self.finished:
-            if last:
+            if close_grace_over:
                 self.transport.abort()
         elif self.has_partial_request():
             # Guards against a request whose last byte arrives as its connection is closed.
--- a/basalthoist/net/control/admin.py
+++ b/basalthoist/net/control/admin.py
@@ -16,8 +16,8 @@
 Answer = Callable[[str], None]
 Call = Callable[[], str]
 DeferredCall = Callable[[Answer], None]
-CallOnId = Callable[[str, Answer], None]
-CallWithFigure = Callable[[str, str, Answer], None]
+CallById = Callable[[str, Answer], None]
+CallWithValue = Callable[[str, str, Answer], None]
 
 
 class CallError(Exception):
@@ -104,21 +104,21 @@
     """Dispatches calls by their names and limits the connections of callers.
 
     `calls` have no arguments and are answered at once. `deferred_calls` have no arguments either but may be
-    answered later. `calls_on_id` have an id as argument, `calls_with_figure` an id and a figure.
+    answered later. `calls_by_id` have an id as argument, `calls_with_value` an id and a value.
     """
 
     def __init__(
         self,
         calls: dict[str, Call],
-        calls_on_id: dict[str, CallOnId],
+        calls_by_id: dict[str, CallById],
         timers: Timers,
         log: Log,
         line_timeout_s: float,
     ) -> None:
         self.calls: dict[str, Call] = calls
         self.deferred_calls: dict[str, DeferredCall] = {}
-        self.calls_on_id: dict[str, CallOnId] = calls_on_id
-        self.calls_with_figure: dict[str, CallWithFigure] = {}
+        self.calls_by_id: dict[str, CallById] = calls_by_id
+        self.calls_with_value: dict[str, CallWithValue] = {}
         self.timers: Timers = timers
         self.log: Log = log
         self.line_timeout: int = int(line_timeout_s * SECOND)
@@ -179,16 +179,16 @@
             answer(self.calls[name]())
         elif name in self.deferred_calls and not arguments:
             self.deferred_calls[name](answer)
-        elif name in self.calls_on_id and len(arguments) == 1:
-            self.calls_on_id[name](arguments[0], answer)
-        elif name in self.calls_with_figure and len(arguments) == 2:
-            self.calls_with_figure[name](*arguments, answer)
+        elif name in self.calls_by_id and len(arguments) == 1:
+            self.calls_by_id[name](arguments[0], answer)
+        elif name in self.calls_with_value and len(arguments) == 2:
+            self.calls_with_value[name](*arguments, answer)
         else:
             raise CallError(f"expected one of: {', '.join(self.known_calls())}")
 
     def known_calls(self) -> list[str]:
         """Returns the name of every call with its arguments."""
         known = [*self.calls, *self.deferred_calls]
-        known += [f"{name} ID" for name in self.calls_on_id]
-        known += [f"{name} ID FIGURE" for name in self.calls_with_figure]
+        known += [f"{name} ID" for name in self.calls_by_id]
+        known += [f"{name} ID FIGURE" for name in self.calls_with_value]
         return known
--- a/basalthoist/net/control/distribution.py
+++ b/basalthoist/net/control/distribution.py
@@ -69,9 +69,9 @@
         self.saved_version = -1
         self.calls = PendingCalls()
         own = name, new_incarnation(), settings.region, settings.scopes, settings.seeds
-        now, random = boot_time_now(), Lcg(int.from_bytes(os.urandom(7), "big"))
+        now, rng = boot_time_now(), Lcg(int.from_bytes(os.urandom(7), "big"))
         hint = read_node_file(self.path, self.file_tag, log)
-        self.subscriber = Subscriber(self, *own, settings.bounds(), random, now, hint)
+        self.subscriber = Subscriber(self, *own, settings.bounds(), rng, now, hint)
         self.session = self.subscriber
 
     # The connection.
@@ -81,7 +81,7 @@
         if type(message) is OperatorReply:
             return self.calls.answer(message.call_id, message.text)
         super().on_message(message)
-        self.look()
+        self.on_view_checked()
 
     def close(self) -> None:
         """Closes the connection and fails the pending calls, whose answers can no longer arrive."""
@@ -95,11 +95,11 @@
             # The subscriber must not move to its preferred relay before the pending calls are answered.
             self.subscriber.preferred_at = max(self.subscriber.preferred_at, now + 2 * TICK)
         run_guarded(self.subscriber.on_tick, self.log, now)
-        self.look()
+        self.on_view_checked()
 
     # Overridden by subclasses.
 
-    def look(self) -> None:
+    def on_view_checked(self) -> None:
         """Called after each message and each tick."""
 
     def apply_entries(self, entries: list[Entry], version: int) -> None:
@@ -232,7 +232,7 @@
         """
         return self.subscriber.may_forward_requests(boot_time_now())
 
-    def look(self) -> None:
+    def on_view_checked(self) -> None:
         """Stands by if the view has become stale, or serves again if it has been confirmed."""
         if self.is_standing_by == self.may_forward_requests():
             self.is_standing_by = not self.is_standing_by
--- a/basalthoist/net/control/fleet.py
+++ b/basalthoist/net/control/fleet.py
@@ -79,12 +79,10 @@
         nodes = sorted(document.nodes)
         hint = self.hint_file.read()
         self.holder: QuotaLeaseHolder | None = self.open_limits(at) if document.limits else None
-        self.replica: Replica = Replica(
-            self, self.me, nodes, voters, bounds, self.random, at, hint, self.holder
-        )
+        self.replica: Replica = Replica(self, self.me, nodes, voters, bounds, self.rng, at, hint, self.holder)
         period = int(document.probe_s * SECOND)
         incarnation = self.handshakes.incarnation
-        self.members: Members = Members(self, self.me, incarnation, nodes, period, self.random, at)
+        self.members: Members = Members(self, self.me, incarnation, nodes, period, self.rng, at)
         self.is_standing_by: bool = not self.replica.may_forward_requests(at)
         set_standing_by(self.is_standing_by)
         timers.every(max(bounds.heartbeat_interval // TICKS_PER_HEARTBEAT, MIN_TICK), self.tick)
--- a/basalthoist/net/control/gossip_socket.py
+++ b/basalthoist/net/control/gossip_socket.py
@@ -1,4 +1,4 @@
-"""The UDP socket for gossip between the nodes of a tier."""
+"""The UDP socket for gossip between the nodes of one service, which share a list of peers."""
 
 import asyncio
 from collections.abc import Callable
@@ -73,7 +73,11 @@
         self.unsent += 1
 
     def log_dropped(self, reason: str) -> None:
-        """Logs the first dropped datagram of its kind since the last report; the others are only counted."""
+        """Logs a datagram, just counted as dropped, while few were dropped since the last report.
+
+        Logs the first dropped datagram, and every one while exactly one came from an unknown sender; any
+        other datagram is only counted.
+        """
         if self.malformed + self.from_unknown_senders < 2 or self.from_unknown_senders == 1:
             self.log(f"peers: a datagram dropped: {reason}")
 
--- a/basalthoist/net/control/message_stream.py
+++ b/basalthoist/net/control/message_stream.py
@@ -27,7 +27,10 @@
         """Called with each message that was received."""
 
     def stream_ended(self, stream: "MessageStream", reason: str) -> None:
-        """Called exactly once, whichever side ended the stream."""
+        """Called once when the stream has ended, whichever side ended it.
+
+        Not called if the owner itself has set `is_closed`, as `OutgoingConnection.close` does.
+        """
 
 
 class MessageStream(asyncio.Protocol):
@@ -154,7 +157,11 @@
         self.bytes_out_before = 0
 
     def connect(self, address: str) -> None:
-        """Closes the connection if there is one, and starts to open a connection to the address."""
+        """Closes the connection if there is one, and starts to open a connection to the address.
+
+        For a malformed address an existing connection stays open, and `session.on_disconnected` is called
+        later.
+        """
         try:
             host_port = address_of(address)
         except ValueError:
@@ -224,11 +231,11 @@
 
 
 def new_incarnation() -> int:
-    """Returns the incarnation of a process: greater than that of any earlier process on this machine.
+    """Returns the incarnation of a process: greater than any earlier one since this machine booted.
 
-    The number is based on the time since boot, which steps of the wall clock do not change. After a reboot
-    the numbers start again, so the process counts as older than its predecessor while the predecessor's
-    session is still open.
+    The number is the time since boot in microseconds, which steps of the wall clock do not change, followed
+    by 10 random bits. After a reboot the numbers start again, so the process counts as older than its
+    predecessor while the predecessor's session is still open.
     """
     return (
         time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000 << 10 | int.from_bytes(os.urandom(2), "big") & 1023
--- a/basalthoist/net/control/relay_process.py
+++ b/basalthoist/net/control/relay_process.py
@@ -44,9 +44,9 @@
 from basalthoist.net.runtime.log import Log
 from basalthoist.net.runtime.timers import SECOND, Timers, boot_time_now
 
-TICK = SECOND // 20
+TICK = SECOND // 20  # 50 ms, in tenths of a millisecond
 LOG_LINES_PER_S = 50
-RESERVED_DESCRIPTORS = 48
+RESERVED_DESCRIPTORS = 48  # of the limit, for everything but the sessions: listeners, log, files, UDP socket
 UNLIMITED_DESCRIPTORS = 1 << 20
 ADMIN_LINE_TIMEOUT_S = 5.0
 BACKLOG = 1024
@@ -73,7 +73,7 @@
         self.on_register_event = on_register_event
         voters = sorted(register.voters)
         self.replica = Replica(
-            self, settings.name, voters, voters, bounds, self.random, now, self.hint_file.read()
+            self, settings.name, voters, voters, bounds, self.rng, now, self.hint_file.read()
         )
 
     def tick(self) -> None:
@@ -138,6 +138,7 @@
         self.log = Log(name, LOG_LINES_PER_S)
         self.timers = Timers(loop, self.log)
         self.disk_worker = DiskWorker(loop)
+        # Ids of calls start at a random number, so that they differ from those of an earlier process.
         self.calls = PendingCalls(int.from_bytes(os.urandom(5), "big") << 20)
         self.file = StoreFile(folder, settings.fleet, self.bounds.history_bytes, self.disk_worker, self.log)
         self.store = self.file.store
@@ -145,11 +146,11 @@
         self.leader_link = LeaderLink(self)
         self.leader_session = self.make_leader_session(incarnation, now)
         self.leader_link.session = self.leader_session
-        self.voting: RegisterVoter | None = None
+        self.register_voter: RegisterVoter | None = None
         self.publisher: Publisher | None = None
         if name in settings.voters:
-            self.voting = self.make_voter(folder)
-            self.publisher = self.make_publisher(self.voting, incarnation)
+            self.register_voter = self.make_voter(folder)
+            self.publisher = self.make_publisher(self.register_voter, incarnation)
         self.sessions = IncomingSessions(self.relay, self.publisher, max_connections(), self.call, self.log)
         self.admin: Admin | None = self.make_admin() if settings.admin else None
         self.listener: Listener | None = None
@@ -159,10 +160,10 @@
     def make_leader_session(self, incarnation: int, now: int) -> LeaderSession:
         """Creates the session that keeps this process's store up to date with the leader."""
         settings = self.settings
-        random = Lcg(int.from_bytes(os.urandom(7), "big"))
+        rng = Lcg(int.from_bytes(os.urandom(7), "big"))
         voters = [voter.address for voter in settings.voters.values()]
         own = settings.name, incarnation, settings.region
-        return LeaderSession(self.leader_link, *own, voters, self.bounds, self.store, random, now)
+        return LeaderSession(self.leader_link, *own, voters, self.bounds, self.store, rng, now)
 
     def make_voter(self, folder: str) -> RegisterVoter:
         """Creates the replica of the register, for a process that is a voter."""
@@ -186,7 +187,7 @@
             ADMIN_LINE_TIMEOUT_S,
         )
         admin.deferred_calls["config-status"] = self.status
-        admin.calls_with_figure["config-set"] = self.set
+        admin.calls_with_value["config-set"] = self.set
         return admin
 
     # Time.
@@ -194,8 +195,8 @@
     def tick(self) -> None:
         """Drives the timers of all parts of the process."""
         now = boot_time_now()
-        if self.voting is not None:
-            self.voting.tick()
+        if self.register_voter is not None:
+            self.register_voter.tick()
         run_guarded(self.leader_session.on_tick, self.log, now)
         run_guarded(self.relay.on_tick, self.log, now)
         self.sessions.end_sessions_without_handshake(self.bounds.silent)
@@ -268,8 +269,8 @@
         make_stream = partial(MessageStream, self.loop, self.key, self.sessions)
         sock = await retried_while_in_use(partial(self.open_listening_socket, (host, port)))
         self.listener = Listener(self.loop, self.timers, self.log, sock, make_stream)
-        if self.voting is not None:
-            address = self.voting.addresses[self.settings.name]
+        if self.register_voter is not None:
+            address = self.register_voter.addresses[self.settings.name]
             await retried_while_in_use(partial(self.open_register_socket, address))
         if self.admin is not None:
             address = address_of(self.settings.admin)
@@ -283,12 +284,12 @@
         self.listener.close()
         self.leader_link.close()
         self.sessions.end_all("relay process ends")
-        if self.voting is not None:
-            self.voting.close()
+        if self.register_voter is not None:
+            self.register_voter.close()
         if self.admin is not None:
             self.admin.close()
         self.file.save()
-        await self.disk_worker.settle(FINAL_WRITE_TIMEOUT_S)
+        await self.disk_worker.wait_until_idle(FINAL_WRITE_TIMEOUT_S)
 
     async def open_listening_socket(self, address: tuple[str, int]) -> socket.socket:
         """Returns the listening socket for nodes and relays."""
@@ -300,7 +301,7 @@
         try:
             sock.setblocking(False)
             sock.bind(address)
-            await self.loop.create_datagram_endpoint(lambda: self.voting, sock=sock)
+            await self.loop.create_datagram_endpoint(lambda: self.register_voter, sock=sock)
         except OSError:
             sock.close()
             raise
--- a/basalthoist/net/control/replica_socket.py
+++ b/basalthoist/net/control/replica_socket.py
@@ -52,8 +52,8 @@
         }
         self.hint_file: HintFile = HintFile(document.fleet, folder, run_on_disk, log)
         incarnation = int.from_bytes(os.urandom(INCARNATION_BYTES), "big")
-        self.random: Lcg = Lcg(int.from_bytes(os.urandom(INCARNATION_BYTES), "big"))
-        self.handshakes: Handshakes = Handshakes(me, incarnation, self.random, bounds.heartbeat_interval)
+        self.rng: Lcg = Lcg(int.from_bytes(os.urandom(INCARNATION_BYTES), "big"))
+        self.handshakes: Handshakes = Handshakes(me, incarnation, self.rng, bounds.heartbeat_interval)
         self.transport: asyncio.DatagramTransport | None = None
         # Counts of datagrams since the last report.
         self.drops_by_reason: Counter[str] = Counter()
--- a/basalthoist/net/discovery/client.py
+++ b/basalthoist/net/discovery/client.py
@@ -54,9 +54,9 @@
         self.address: tuple[str, int] = configuration.discovery
         settings = configuration.network_settings
         self.translator: Translator = Translator(settings.zones, settings.kinds)
-        # Random delays guard against all nodes of a tier polling discovery at the same time.
-        random = Lcg(configuration.seed).uniform
-        self.schedule: PollSchedule = PollSchedule(self, random, poll_times(configuration))
+        # Random delays guard against all nodes of the service polling discovery at the same time.
+        rng = Lcg(configuration.seed).uniform
+        self.schedule: PollSchedule = PollSchedule(self, rng, poll_times(configuration))
         self.connection: DiscoveryConnection | None = None  # of the current poll
         self.connecting: asyncio.Task | None = None
         self.timer: Timer | None = None
@@ -175,5 +175,5 @@
                 self.log(f"{entry.id} left out: {error}")
                 return False
             address = pool.address
-        self.upstream.learn(entry.id, address, endpoint.started, healthy)
+        self.upstream.add_or_update_backend(entry.id, address, endpoint.started, healthy)
         return True
--- a/basalthoist/net/discovery/polling.py
+++ b/basalthoist/net/discovery/polling.py
@@ -31,7 +31,7 @@
     """The times of a schedule.
 
     `backoff` doubles with each failure up to `max_backoff`. `slot_cycle`: how long discovery takes to serve
-    all nodes of a tier one by one, if polls load it; else 0. `move_allowance`: how long after a move the
+    all nodes of the service one by one, if polls load it; else 0. `move_allowance`: how long after a move the
     list of the new address may stay unknown.
     """
 
@@ -59,14 +59,15 @@
 class PollSchedule:
     """Runs one poll at a time. `has_list` and `revision` determine what the next poll requests."""
 
-    def __init__(self, host: PollHost, random: Callable[[], float], times: PollTimes) -> None:
+    def __init__(self, host: PollHost, rng: Callable[[], float], times: PollTimes) -> None:
         self.host: PollHost = host
-        self.random: Callable[[], float] = random
+        self.rng: Callable[[], float] = rng
         self.silence_timeout: int = times.silence_timeout
         self.interval: int = int(INTERVAL_FRACTION * times.known_within)
         self.slot_cycle: int = times.slot_cycle
         self.move_allowance: int = times.move_allowance
-        # Guards against a large tier that polls faster than discovery, whose capacity is fixed, can answer.
+        # Guards against a service with so many nodes that they poll faster than discovery, whose capacity is
+        # fixed, can answer.
         self.initial_backoff: int = max(times.backoff, times.slot_cycle // 2)
         self.backoff_limit: int = max(times.backoff, times.max_backoff // PUSHED_BACKOFF_DIVISOR)
         if times.slot_cycle:
@@ -98,7 +99,7 @@
         self.poll_by = now + self.interval
         # Guards against nodes that were killed together and then poll at the same time.
         if self.uses_slots and known:
-            self.schedule_poll(now, int(min(self.slot_cycle, self.interval) * self.random()))
+            self.schedule_poll(now, int(min(self.slot_cycle, self.interval) * self.rng()))
         else:
             self.start_poll(now)
 
@@ -153,9 +154,9 @@
             if self.resumed and not self.is_watching:
                 self.poll_by = self.previous_poll_by  # the poll brought nothing, and the list is still needed
         self.polling = False
-        backoff = min(self.initial_backoff * 2**self.failures, self.backoff_limit) * (0.5 + self.random())
+        backoff = min(self.initial_backoff * 2**self.failures, self.backoff_limit) * (0.5 + self.rng())
         self.failures = min(self.failures + 1, MAX_COUNTED_FAILURES)
-        time_left = max(self.poll_by - now, MAX_OVERDUE_WAIT) * (0.7 + 0.3 * self.random())
+        time_left = max(self.poll_by - now, MAX_OVERDUE_WAIT) * (0.7 + 0.3 * self.rng())
         if now < self.fast_polls_until:
             # Guards against waits beyond the time by which the list of the new address must be known.
             time_left = min(
--- a/basalthoist/net/dispatcher.py
+++ b/basalthoist/net/dispatcher.py
@@ -31,6 +31,9 @@
 class RequestDispatcher:
     """Implements `BalancerHost`. Times are in tenths of a millisecond.
 
+    `request.id`, the `number` of a method and the balancer's `ident` are the same number of a request; its
+    `request_id` is the Request-Id header.
+
     Calls the balancer through `guard`, except for `on_rate_limit` and `may_start_attempt`.
     """
 
@@ -56,7 +59,7 @@
         self.by_request_id: dict[bytes, ProxiedRequest] = {}
         self.last_number: int = 0
         self.links: Links | None = None  # to other sites
-        self.ends_at: int | None = None  # set at shutdown: by then every request has to be answered
+        self.shutdown_deadline: int | None = None  # set at shutdown: by then every request has to be answered
         health_check = head_of(b"GET %b HTTP/1.1" % self.health_check_path, [(b"Host", b"basalthoist")])
         health_check += b"\r\n"
         self.health_check_chunks: RequestChunks = lambda: [health_check]
@@ -86,18 +89,19 @@
     ) -> ProxiedRequest:
         """Starts an HTTP request. Its timeout counts from when the client sent it.
 
+        `spilled`: another site has forwarded the request to this one.
         Raises BadMessage if its Request-Id is that of a request in progress.
         """
         request_id = message.get(b"request-id") or b""
         # Guards against running a request twice: the first copy, or an attempt of it, may still run.
         if request_id in self.by_request_id:
             raise BadMessage(409, "Request-Id of a request in progress")
-        deadline = self.cap_deadline(message.came_at + timeout_ms * 10 - self.client_transit)
+        deadline = self.cap_deadline(message.arrived_at + timeout_ms * 10 - self.client_transit)
         head = forwarded_head(message, upload)
         request = ProxiedRequest(self.next_number(), request_id, client, head, message.body, deadline)
         request.is_streaming = self.streaming_routes[route]
         request.spilled = spilled
-        request.came_at = message.came_at
+        request.arrived_at = message.arrived_at
         if upload is not None:
             self.stream_body(request, upload, timeout_ms)
         if spilled:
@@ -108,7 +112,7 @@
 
     def cap_deadline(self, deadline: int) -> int:
         """Returns the deadline, or the end of the process if that is earlier."""
-        return deadline if self.ends_at is None else min(deadline, self.ends_at)
+        return deadline if self.shutdown_deadline is None else min(deadline, self.shutdown_deadline)
 
     def next_number(self) -> int:
         """Returns the number of a new request."""
@@ -187,7 +191,10 @@
         self.loop.call_soon(self.report_body, request)
 
     def on_body_complete(self, request: ProxiedRequest) -> None:
-        """Sets the deadline from the body's last byte, and reports it if the body is being forwarded."""
+        """Sets the deadline, counted from the arrival of the body's last byte.
+
+        If the body is being forwarded, also reports the time left and the end of the body to the balancer.
+        """
         request.deadline = self.cap_deadline(now() + request.upload.timeout)
         if request.open:
             request.timer.stop()
@@ -227,7 +234,8 @@
     def withdraw_all(self, request: ProxiedRequest) -> None:
         """Withdraws attempts of which no byte is written, whether or not backends support cancellation."""
         for call in request.calls:
-            # Guards against a retry at another site: only a closed connection tells it that no client waits.
+            # Guards against a retry at another site: the site learns that no client waits only from a closed
+            # connection.
             if call is not None and not call.withdraw() and call.pool.name.startswith("site:"):
                 call.abandon(Outcome.CANCELLED)
 
--- a/basalthoist/net/framing.py
+++ b/basalthoist/net/framing.py
@@ -38,12 +38,12 @@
 
 
 class Message:
-    """One request or response. `came_at`: when its last byte arrived, in tenths of a millisecond.
+    """One request or response. `arrived_at`: when its last byte arrived, in tenths of a millisecond.
 
     `headers` has names in lower case; `body` may be a slice of the buffer that was read.
     """
 
-    __slots__ = ("method", "target", "version", "status", "headers", "body", "keep_alive", "came_at")
+    __slots__ = ("method", "target", "version", "status", "headers", "body", "keep_alive", "arrived_at")
 
     def __init__(self) -> None:
         self.method: bytes = b""
@@ -53,7 +53,7 @@
         self.headers: list[tuple[bytes, bytes]] = []
         self.body: bytes | memoryview | bytearray = b""
         self.keep_alive: bool = True
-        self.came_at: int = 0
+        self.arrived_at: int = 0
 
     def get(self, name: bytes) -> bytes | None:
         """Returns the value of the first header of this name, or None."""
@@ -221,7 +221,7 @@
     def finish(self) -> Message:
         """Returns the message that is complete and resets the state for the next one."""
         message = self.message
-        message.came_at = self.last_arrival()
+        message.arrived_at = self.last_arrival()
         if self.body is not None:
             message.body = self.body
         self.restart()
@@ -286,7 +286,7 @@
 
         Where there is no callback, raises BadMessage if `required`, else goes on buffering.
         """
-        self.message.came_at = self.last_arrival()
+        self.message.arrived_at = self.last_arrival()
         self.body_sink = self.on_long_body and self.on_long_body(self.message, self.length())
         if self.body_sink is None and required:
             raise BadMessage(413, f"body over {self.body_bytes} bytes cannot be streamed")
--- a/basalthoist/net/lifecycle/handover.py
+++ b/basalthoist/net/lifecycle/handover.py
@@ -55,7 +55,7 @@
         self.timeout_s: float = timeout_s
         self.predecessor: HandoverConnection | None = None
         self.successors: list[HandoverConnection] = []
-        self.listening: socket.socket | None = None  # The listening socket to hand to a successor.
+        self.listening_socket: socket.socket | None = None  # The listening socket to hand to a successor.
         self.shares_socket: bool = False  # Whether this process uses its predecessor's listening socket.
         self.server: socket.socket | None = None  # The Unix socket to which successors connect.
         self.predecessor_answer: asyncio.Future[socket.socket | None] | None = None
@@ -200,7 +200,7 @@
             return successor.close()
         self.log(f"process {successor.pid} (successor) has connected")
         self.successors.append(successor)
-        descriptors = [self.listening.fileno()] if self.listening is not None else []
+        descriptors = [self.listening_socket.fileno()] if self.listening_socket is not None else []
         successor.send(HandoverMessage(maintenance=self.maintenance.state()), *descriptors)
         self.on_change()
 
--- a/basalthoist/net/lifecycle/shutdown.py
+++ b/basalthoist/net/lifecycle/shutdown.py
@@ -20,10 +20,10 @@
 class DrainedConnection(Protocol):
     """A client's connection during the shutdown."""
 
-    def close_for_shutdown(self, last: bool) -> None:
+    def close_for_shutdown(self, close_grace_over: bool) -> None:
         """Answers every unanswered request now, and closes the connection once that is possible.
 
-        With `last`, the time for the client to close it after its last response has passed as well.
+        `close_grace_over`: the time for the client to close it after its last response has passed as well.
         """
 
 
@@ -76,14 +76,14 @@
         self.front_end: DrainedFrontEnd = front_end
         self.timers: Timers = front_end.timers
         self.drain_grace_over: bool = False
-        self.time_is_up: bool = False
-        self.time_was_up_at: int = 0
+        self.answer_time_over: bool = False
+        self.answer_time_over_at: int = 0
         self.drained: asyncio.Future = front_end.loop.create_future()
 
     def begin(self) -> None:
         """Starts the shutdown, after SIGTERM."""
         spans = shutdown_spans(self.front_end.limits, self.front_end.longest_timeout)
-        self.front_end.dispatcher.ends_at = now() + spans.answer_time
+        self.front_end.dispatcher.shutdown_deadline = now() + spans.answer_time
         self.timers.after(spans.drain_grace, self.stop_listening)
         # Also ends the connections of clients that never complete a request or never read a response.
         self.timers.after(spans.answer_time, self.answer_all)
@@ -106,12 +106,12 @@
 
     def answer_all(self) -> None:
         """Ends all connections with the responses that they wait for, again and again until none is open."""
-        if not self.time_is_up:
-            self.time_is_up = True
-            self.time_was_up_at = now()
-        last = now() >= self.time_was_up_at + CLOSE_GRACE
+        if not self.answer_time_over:
+            self.answer_time_over = True
+            self.answer_time_over_at = now()
+        close_grace_over = now() >= self.answer_time_over_at + CLOSE_GRACE
         for connection in list(self.front_end.connections):
-            connection.close_for_shutdown(last)
+            connection.close_for_shutdown(close_grace_over)
         self.check_drained()
         if not self.drained.done():
             self.timers.after(CHECK_INTERVAL, self.answer_all)
--- a/basalthoist/net/listener.py
+++ b/basalthoist/net/listener.py
@@ -73,7 +73,7 @@
             except OSError as error:
                 # accept raises many transient errors, such as EMFILE, ENFILE, ENOBUFS and the network errors
                 # of a broken connection. The connections that wait are accepted later.
-                self.log(f"no connection taken: {error}")
+                self.log(f"no connection taken: accept failed: {error}")
                 break
             self.begin(sock)
             accepted += 1
@@ -99,7 +99,7 @@
         try:
             await self.loop.connect_accepted_socket(lambda: protocol, sock)
         except OSError as error:
-            self.log(f"connection not taken over: {error}")
+            self.log(f"connection not taken over: accepted, but not set up: {error}")
             self.on_dropped()
             sock.close()
 
--- a/basalthoist/net/optional_parts.py
+++ b/basalthoist/net/optional_parts.py
@@ -37,11 +37,11 @@
         "standby": operator_calls.standby,
         "active": operator_calls.activate,
     }
-    calls_on_id = {
+    calls_by_id = {
         "maint-on": operator_calls.maintenance_call(True),
         "maint-off": operator_calls.maintenance_call(False),
     }
-    service.admin = Admin(calls, calls_on_id, service.timers, service.log, service.limits.admin_line_s)
+    service.admin = Admin(calls, calls_by_id, service.timers, service.log, service.limits.admin_line_s)
     if configuration.folder:
         service.handover = Handover(
             configuration.folder,
@@ -121,12 +121,12 @@
     propose_verdict = service.operator_calls.propose_verdict
     admin.deferred_calls["fleet-status"] = service.fleet.status
     admin.calls["fleet-members"] = service.fleet.members_status
-    admin.calls_on_id["fleet-on"] = partial(propose_verdict, ("ban",), True)
-    admin.calls_on_id["fleet-off"] = partial(propose_verdict, ("ban", "sick"), False)
-    admin.calls_on_id["fleet-shut-customer"] = partial(propose_verdict, ("customer",), True)
-    admin.calls_on_id["fleet-let-customer"] = partial(propose_verdict, ("customer",), False)
-    admin.calls_on_id["fleet-drop-quota"] = partial(propose_verdict, ("quota",), False)
-    admin.calls_with_figure["fleet-set-quota"] = service.operator_calls.set_quota
+    admin.calls_by_id["fleet-on"] = partial(propose_verdict, ("ban",), True)
+    admin.calls_by_id["fleet-off"] = partial(propose_verdict, ("ban", "sick"), False)
+    admin.calls_by_id["fleet-shut-customer"] = partial(propose_verdict, ("customer",), True)
+    admin.calls_by_id["fleet-let-customer"] = partial(propose_verdict, ("customer",), False)
+    admin.calls_by_id["fleet-drop-quota"] = partial(propose_verdict, ("quota",), False)
+    admin.calls_with_value["fleet-set-quota"] = service.operator_calls.set_quota
 
 
 def add_distribution(service: "Service", document: "DistributionDocument") -> None:
@@ -155,8 +155,8 @@
     if service.admin is not None:
         service.admin.calls["config-here"] = distribution.here
         service.admin.deferred_calls["config-status"] = distribution.status
-        service.admin.calls_on_id["config-drop"] = distribution.drop
-        service.admin.calls_with_figure["config-set"] = distribution.set
+        service.admin.calls_by_id["config-drop"] = distribution.drop
+        service.admin.calls_with_value["config-set"] = distribution.set
 
 
 def drain_while_stale(service: "Service", reason: DrainReason) -> Callable[[bool], None]:
--- a/basalthoist/net/proxied_request.py
+++ b/basalthoist/net/proxied_request.py
@@ -71,7 +71,7 @@
         "spilled",
         "may_have_run",
         "upload",
-        "came_at",
+        "arrived_at",
     )
 
     def __init__(
@@ -97,7 +97,7 @@
         self.stream: Call | None = None  # the attempt whose response is streamed to the client
         self.spilled: bool = False  # received from another site
         self.may_have_run: bool = False  # after an attempt with an outcome that is not in NEVER_RAN
-        self.came_at: int = now()
+        self.arrived_at: int = now()
         self.upload: Upload | None = None  # the body, if it is too long to buffer
 
     def request_chunks(self, attempt_number: int, until: int, extra_headers: bytes = b"") -> list[bytes]:
--- a/basalthoist/net/runtime/disk_worker.py
+++ b/basalthoist/net/runtime/disk_worker.py
@@ -47,7 +47,7 @@
         self.open_tasks -= 1
         on_done(error)
 
-    async def settle(self, seconds: float) -> None:
+    async def wait_until_idle(self, seconds: float) -> None:
         """Returns once no task is open, or after `seconds`."""
         for _ in range(int(seconds * 100)):
             if not self.open_tasks:
--- a/basalthoist/net/service.py
+++ b/basalthoist/net/service.py
@@ -162,7 +162,7 @@
         host, port = self.configuration.listen
         self.log(f"listening on {host}:{port}")
         if self.handover is not None:
-            self.handover.listening = listener.sock
+            self.handover.listening_socket = listener.sock
             self.handover.announce_ready()
         jsonrpc = self.jsonrpc_front_end
         if jsonrpc is not None:
@@ -174,14 +174,14 @@
 
     async def close(self) -> None:
         """Waits for files that are being written, then closes the connections to backends and the parts."""
-        await self.disk_worker.settle(FILE_WRITES_TIMEOUT_S)
+        await self.disk_worker.wait_until_idle(FILE_WRITES_TIMEOUT_S)
         self.upstream.close_all()
         for part in (self.admin, self.handover, self.fleet, self.distribution):
             if part is not None:
                 part.close()
         if self.dispatcher.guard.shadow is not None:
             self.log(self.dispatcher.guard.shadow.line())
-        self.log("all answered")
+        self.log("all answered, the process ends")
 
     def shut_down(self) -> None:
         """Begins the graceful shutdown, at SIGTERM. Further calls do nothing."""
@@ -215,7 +215,7 @@
         return self.front_end.listen(sock)
 
     async def bind_with_retries(self, bind: Callable[[], Awaitable[BindResult]]) -> BindResult | None:
-        """Awaits `bind`, again while its address is in use, for up to `bind_s`; returns its result.
+        """Awaits `bind` and returns its result; retries for up to `bind_s` while the address is in use.
 
         Returns None if the node was drained before. Raises OSError.
         """
@@ -242,7 +242,10 @@
             raise
 
     async def join_fleet(self) -> None:
-        """Opens the fleet's socket. Without it the node serves by its last view, or drains if stale."""
+        """Opens the fleet's socket.
+
+        If the socket cannot be opened, the node serves by its last view, and drains while that view is stale.
+        """
         address = self.fleet.addresses[self.configuration.name]
         try:
             await self.bind_with_retries(lambda: self.open_datagrams(self.fleet, address))
--- a/basalthoist/net/uploads.py
+++ b/basalthoist/net/uploads.py
@@ -14,8 +14,8 @@
     """The streamed body of one request, from the client's connection to a single attempt.
 
     Until there is an attempt the body is buffered; above `max_buffered_bytes` reading from the client pauses.
-    `on_forwarding_started` is called when the body is first written to a backend, after which it cannot be
-    sent again. `on_complete` is called when the last byte has arrived.
+    `on_forwarding_started` is called when the body is attached to a backend connection, after which it cannot
+    be sent again. `on_complete` is called when the last byte has arrived.
     """
 
     def __init__(self, client: "HttpClientConnection", length: int | None, max_buffered_bytes: int) -> None:
@@ -25,8 +25,8 @@
         self.buffer: bytearray = bytearray()
         self.complete: bool = False
         self.connection: Connection | None = None
-        self.consumed: bool = False  # bytes were written and dropped from the buffer, so no retry is possible
-        # Of the request, counted from the last byte of the body, in tenths of a millisecond.
+        self.consumed: bool = False  # whether the body was attached to an attempt, so it cannot be sent again
+        # The request's timeout, counted from the last byte of its body, in tenths of a millisecond.
         self.timeout: int = 0
         self.on_forwarding_started: Callable[[], None] = lambda: None
         self.on_complete: Callable[[], None] = lambda: None
--- a/basalthoist/net/upstream/upstream.py
+++ b/basalthoist/net/upstream/upstream.py
@@ -43,7 +43,7 @@
         descriptors.reclaimers.append(self.close_longest_idle)
         timers.every(SECOND, self.sweep)
 
-    def learn(
+    def add_or_update_backend(
         self, name: str, address: tuple[str, int], started_at: int | None, accepts_requests: bool = True
     ) -> None:
         """Adds or updates a backend. If it accepts no requests, those not written yet are withdrawn."""
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -13,8 +13,8 @@
     executions_by_second,
 )
 from basalthoist.experiments.cluster.rig import play
-from basalthoist.experiments.cluster.searching import least
-from basalthoist.experiments.cluster.timeline import Ban, Event, Machine, Timeline, drawn, read
+from basalthoist.experiments.cluster.searching import shrink
+from basalthoist.experiments.cluster.timeline import Ban, Event, Machine, Timeline, generate_timeline, read
 from basalthoist.experiments.running import RunError
 
 ON, LIFTED = Ban(2.0, 0), Ban(7.0, 0, 1, False)
@@ -122,13 +122,13 @@
 def test_random_timelines_have_no_violation(tmp_path):
     for seed in (3, 7):
         lines = []
-        result = play(drawn(seed), lines.append, tmp_path / str(seed))
+        result = play(generate_timeline(seed), lines.append, tmp_path / str(seed))
         assert result["broken"] == [], [seed, *lines]
 
 
 def test_timeline_is_shrunk_to_events_needed_for_violation():
     """The check finds a violation where node 2 is frozen for 2 s or longer and its disk tears writes."""
-    timeline = drawn(5)
+    timeline = generate_timeline(5)
     timeline.events.insert(1, Event("freeze", 4.0, 4.0, [2]))
     timeline.machines[2] = Machine(2, "torn")
 
@@ -136,7 +136,7 @@
         freezes = [e for e in tried.events if e.kind == "freeze" and e.who == [2] and e.for_s >= 2]
         return ["broken"] if freezes and any(m.disk == "torn" for m in tried.machines) else []
 
-    found = least(timeline, breaks)
+    found = shrink(timeline, breaks)
     assert [(e.kind, e.who, e.for_s) for e in found.events] == [("freeze", [2], 2.0)]
     assert (len(found.machines), found.bans) == (1, [])
 
@@ -145,10 +145,10 @@
     called = {"text": "SUCCESS version 1 at 4 of 5, n4 shut out"}
     result = {"timeline": {"events": [{"kind": "cut"}, {"kind": "cut"}]}, "broken": [], "waits_s": [0.5, 1.5],
               "last_sends_s": [0.25], "runs": 70, "calls": [called], "bound_s": 1.5}  # fmt: skip
-    account.keep(tmp_path, result)
+    account.append_result(tmp_path, result)
     limited = {"nodes": 5, "limit": 50.0, "burst": 10.0}
     more = {"timeline": limited, "limit_parts": [0.5, 0.25, 0.75], "ran_s": [40, 60, 50]}
-    account.keep(tmp_path, result | {"broken": ["n1 ran it twice"]} | more)
+    account.append_result(tmp_path, result | {"broken": ["n1 ran it twice"]} | more)
     account.write(tmp_path)
     table = (tmp_path / "table.md").read_text()
     assert "2 timelines, 2 calls, 140 attempts at backends; 1 timelines with a finding." in table
@@ -227,5 +227,5 @@
 
 
 def test_seed_determines_timeline_which_survives_conversion():
-    one = drawn(11)
-    assert msgspec.convert(msgspec.to_builtins(one), Timeline) == drawn(11) == one
+    one = generate_timeline(11)
+    assert msgspec.convert(msgspec.to_builtins(one), Timeline) == generate_timeline(11) == one
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -245,7 +245,7 @@
 
 def start(dispatcher, timeout):
     client, message = Client(), Message()
-    message.method, message.target, message.came_at = b"POST", b"/pay", now()
+    message.method, message.target, message.arrived_at = b"POST", b"/pay", now()
     return client, dispatcher.start(client, message, 1, 0, timeout, False)
 
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -9,7 +9,7 @@
 from basalthoist.experiments.soak.broken import VARIANTS, replace_method
 from basalthoist.experiments.soak.discovery import OUTAGES, SILENT
 from basalthoist.experiments.soak.judge import check_run, max_requests
-from basalthoist.experiments.soak.plan import Plan, drawn
+from basalthoist.experiments.soak.plan import Plan, generate_plan
 from basalthoist.experiments.soak.playing import play
 from basalthoist.experiments.soak.record import Attempt, Record, Request
 
@@ -18,7 +18,7 @@
 
 @pytest.mark.parametrize("seed", range(1, 13))
 def test_run_breaks_no_rule(seed):
-    result = play(drawn(seed))
+    result = play(generate_plan(seed))
     assert result.breaks == [], (result.paths, result.log)
     assert result.answered > 50
 
@@ -53,7 +53,7 @@
 @pytest.mark.parametrize("name", VARIANTS)
 def test_broken_variant_is_detected(name):
     rule, _ = VARIANTS[name]
-    plans = (plan for plan in map(drawn, range(1, 100_000)) if can_show_fault(name, plan))
+    plans = (plan for plan in map(generate_plan, range(1, 100_000)) if can_show_fault(name, plan))
     found = (violation.rule for plan in islice(plans, MAX_RUNS) for violation in play(plan, name).breaks)
     assert rule in found
 
@@ -71,8 +71,8 @@
 
 
 def test_seed_determines_plan():
-    assert [drawn(seed) for seed in range(50)] == [drawn(seed) for seed in range(50)]
-    assert len({drawn(seed) for seed in range(50)}) == 50
+    assert [generate_plan(seed) for seed in range(50)] == [generate_plan(seed) for seed in range(50)]
+    assert len({generate_plan(seed) for seed in range(50)}) == 50
 
 
 def test_max_requests_at_cold_start():
