--- a/basalthoist/experiments/soak/broken.py
+++ b/basalthoist/experiments/soak/broken.py
@@ -57,7 +57,9 @@
     """Retries requests that may have run, whatever the semantics of the route."""
     from basalthoist.decisions.retry import RetryPolicy
 
-    replace_method(RetryPolicy, "may_repeat", lambda self, request, attempts_before, backend, now: True)
+    replace_method(
+        RetryPolicy, "causes_no_duplicate", lambda self, request, attempts_before, backend, now: True
+    )
 
 
 def repeats_late() -> None:
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -102,7 +102,7 @@
     """Nodes are cut off without a closed connection while changes continue, and come back."""
     world = started_fleet(seed, make)
     for number in range(4):
-        for name in world.chance.sample(sorted(world.nodes), 3):
+        for name in world.rng.sample(sorted(world.nodes), 3):
             world.isolate(name)
         make_calls(world, "r0", 100 * number + 10, 24, 1_000)
         for name in list(world.isolated):
@@ -146,7 +146,7 @@
     world = started_fleet(seed, make)
     world.delay = delay
     for number in range(4):
-        names = [world.author() or "n0", "r1", *world.chance.sample(sorted(world.nodes), nodes)]
+        names = [world.author() or "n0", "r1", *world.rng.sample(sorted(world.nodes), nodes)]
         for name in names:
             world.freeze(name)
         make_calls(world, "r0", 100 * number + 10, 20, 2_000)
