--- a/basalthoist/emulator/baselines.py
+++ b/basalthoist/emulator/baselines.py
@@ -1,4 +1,4 @@
-"""Baseline policies for comparison. They follow the four rules in the simplest way."""
+"""Policies to compare with. They keep the rules in the simplest way that does; none is used by `Balancer`."""
 
 from collections.abc import Callable
 from random import Random
@@ -10,151 +10,147 @@
 from basalthoist.decisions.rotation import Rotation
 
 
-class SimplePolicy:
-    """Sends to the backend that `choose` returns; retries elsewhere where that is safe, otherwise sheds."""
+class Plain:
+    """Sends to what `choose` names, tries again elsewhere where that is allowed, and sheds when it can't."""
 
     def __init__(self, host, seed: int, settings: dict, now: int) -> None:
         self.host, self.settings, self.rng = host, settings, Random(seed)
-        self.healthy: dict[str, object] = {}
-        self.requests: dict[int, dict] = {}
-        self.in_flight: dict[str, int] = {}
+        self.fit: dict[str, object] = {}
+        self.open: dict[int, dict] = {}
+        self.out: dict[str, int] = {}
         self.turn = self.rng.randrange(1 << 30)
 
     def choose(self, names: list[str], now: int) -> str:
         raise NotImplementedError
 
-    def may_retry(self, request: dict) -> bool:
-        may_have_run = [outcome for outcome in request["outcomes"] if outcome not in NEVER_RAN]
-        return not may_have_run or request["semantics"] == "idempotent"
+    def causes_no_duplicate(self, request: dict) -> bool:
+        ran = [one for one in request["ends"] if one not in NEVER_RAN]
+        return not ran or request["semantics"] == "idempotent"
 
-    def on_request(
-        self, now: int, ident: int, route: int, tenant: int, time_left: int, is_retry: bool
-    ) -> None:
+    def on_request(self, now: int, ident: int, route: int, customer: int, grace: int, again: bool) -> None:
         semantics = self.settings[f"routes.{route}.semantics"]
-        self.requests[ident] = {
+        self.open[ident] = {
             "semantics": semantics,
-            "deadline": now + time_left,
-            "outcomes": [],
+            "until": now + grace,
+            "ends": [],
             "sent": [],
-            "answered": False,
+            "over": False,
         }
-        self.send_next(now, ident)
-        self.host.wake(max(time_left - 1, 0), f"end {ident}")
+        self.place(now, ident)
+        self.host.wake(max(grace - 1, 0), f"end {ident}")
 
-    def send_next(self, now: int, ident: int) -> None:
-        request = self.requests[ident]
-        names = [name for name in self.healthy if name not in request["sent"]] or list(self.healthy)
+    def place(self, now: int, ident: int) -> None:
+        request = self.open[ident]
+        names = [name for name in self.fit if name not in request["sent"]] or list(self.fit)
         if not names or len(request["sent"]) >= self.settings["policy_limits.max_upstream_tries"]:
             return self.give_up(ident)
         name = self.choose(names, now)
         request["sent"].append(name)
-        self.in_flight[name] = self.in_flight.get(name, 0) + 1
-        self.host.send(ident, name, max(request["deadline"] - now - 1, 1))
+        self.out[name] = self.out.get(name, 0) + 1
+        self.host.send(ident, name, max(request["until"] - now - 1, 1))
 
     def give_up(self, ident: int) -> None:
-        request = self.requests[ident]
-        if not request["answered"]:
-            request["answered"] = True
-            may_have_run = len(request["outcomes"]) < len(request["sent"]) or any(
-                outcome not in NEVER_RAN for outcome in request["outcomes"]
+        request = self.open[ident]
+        if not request["over"]:
+            request["over"] = True
+            ran = len(request["ends"]) < len(request["sent"]) or any(
+                end not in NEVER_RAN for end in request["ends"]
             )
-            if may_have_run and request["semantics"] != "idempotent":
+            if ran and request["semantics"] != "idempotent":
                 self.host.fail(ident)
             else:
                 self.host.shed(ident, 0)
-            if len(request["outcomes"]) < len(request["sent"]):
+            if len(request["ends"]) < len(request["sent"]):
                 self.host.cancel(ident, len(request["sent"]) - 1)
 
     def on_attempt_ended(
-        self, now: int, ident: int, number: int, outcome: Outcome, duration: int, over: bool, load
+        self, now: int, ident: int, number: int, outcome: Outcome, took: int, over: bool, load
     ) -> None:
-        if (request := self.requests.get(ident)) is None:
+        if (request := self.open.get(ident)) is None:
             return
         name = request["sent"][number]
-        self.in_flight[name] -= 1
-        request["outcomes"].append(outcome)
-        if over or request["answered"]:
-            request["answered"] = True
-            if len(request["outcomes"]) == len(request["sent"]):
-                del self.requests[ident]
-        elif now < request["deadline"] - 1 and self.may_retry(request):
-            self.send_next(now, ident)
+        self.out[name] -= 1
+        request["ends"].append(outcome)
+        if over or request["over"]:
+            request["over"] = True
+            if len(request["ends"]) == len(request["sent"]):
+                del self.open[ident]
+        elif now < request["until"] - 1 and self.causes_no_duplicate(request):
+            self.place(now, ident)
         else:
             self.give_up(ident)
 
     def on_wake(self, now: int, tag: str) -> None:
         ident = int(tag.split()[1])
-        if ident in self.requests:
+        if ident in self.open:
             self.give_up(ident)
 
     def on_client_gone(self, now: int, ident: int) -> None:
-        request = self.requests.pop(ident, None)
+        request = self.open.pop(ident, None)
         if request is not None:
-            for number in range(len(request["outcomes"]), len(request["sent"])):
-                self.in_flight[request["sent"][number]] -= 1
+            for number in range(len(request["ends"]), len(request["sent"])):
+                self.out[request["sent"][number]] -= 1
                 self.host.cancel(ident, number)
 
-    def on_endpoint_list(self, now: int, entries, complete: bool) -> None:
-        if complete:
-            self.healthy.clear()
+    def on_endpoint_list(self, now: int, entries, whole: bool) -> None:
+        if whole:
+            self.fit.clear()
         for entry in entries:
-            self.healthy.pop(entry.name, None)
+            self.fit.pop(entry.name, None)
             if entry.state == "healthy":
-                self.healthy[entry.name] = entry
+                self.fit[entry.name] = entry
 
     def on_endpoint_list_failed(self, now: int) -> None: ...
-    def on_health_check_ended(self, now: int, name: str, outcome: Outcome, duration: int, load) -> None: ...
-    def on_gossip(self, now: int, peer: int, reports) -> None: ...
+    def on_health_check_ended(self, now: int, name: str, outcome: Outcome, took: int, load) -> None: ...
+    def on_gossip(self, now: int, peer: int, words) -> None: ...
     def on_response_started(self, now: int, ident: int, number: int) -> None: ...
 
 
-class RandomChoice(SimplePolicy):
+class RandomChoice(Plain):
     def choose(self, names: list[str], now: int) -> str:
         return self.rng.choice(names)
 
 
-class RoundRobin(SimplePolicy):
+class RoundRobin(Plain):
     def choose(self, names: list[str], now: int) -> str:
         self.turn += 1
         return names[self.turn % len(names)]
 
 
-class LeastOutstanding(SimplePolicy):
+class LeastOutstanding(Plain):
     def choose(self, names: list[str], now: int) -> str:
-        least = min(self.in_flight.get(name, 0) for name in names)
-        return self.rng.choice([name for name in names if self.in_flight.get(name, 0) == least])
+        least = min(self.out.get(name, 0) for name in names)
+        return self.rng.choice([name for name in names if self.out.get(name, 0) == least])
 
 
-class TwoChoices(SimplePolicy):
+class TwoChoices(Plain):
     def choose(self, names: list[str], now: int) -> str:
-        return min(self.rng.sample(names, min(2, len(names))), key=lambda name: self.in_flight.get(name, 0))
+        return min(self.rng.sample(names, min(2, len(names))), key=lambda name: self.out.get(name, 0))
 
 
-class Oracle(SimplePolicy):
-    """Uses the true state of every backend and path, which no real node can see."""
+class Oracle(Plain):
+    """Sees the true state of every backend and path: what no node can."""
 
     def choose(self, names: list[str], now: int) -> str:
         fleet = self.host.fleet
 
-        def expected_wait(name: str) -> float:
+        def wait(name: str) -> float:
             server = fleet.servers[name]
-            reachable = server.alive and not server.frozen and not server.draining
-            reachable = reachable and fleet.paths.is_open(self.host.location, server.location)
-            if not reachable:
+            there = server.alive and not server.frozen and not server.draining
+            there = there and fleet.paths.open(self.host.location, server.location)
+            if not there:
                 return 1e9 + self.rng.random()
-            return (server.in_flight() + self.host.fleet.in_transit_to(name) + 1) / (
-                server.capacity() * server.success_rate
-            )
+            return (server.held() + self.host.fleet.under_way(name) + 1) / (server.capacity() * server.good)
 
-        return min(names, key=expected_wait)
+        return min(names, key=wait)
 
 
 class Variant(Balancer):
-    """`Balancer` with one mechanism switched off, for experiments only."""
+    """`Balancer` with a part of the design switched off, for experiments alone."""
 
 
 class NoStepwise(Variant):
-    """Skips stepwise profiling: new backends start with the mean profile of their kind."""
+    """New backends stand as their kind's mean from the start."""
 
     def choose(self, now: int) -> None:
         super().choose(now)
@@ -163,20 +159,20 @@
 
 
 class NoSkippingRotation(Rotation):
-    """Sends to the backend whose turn it is, regardless of its load."""
+    """Sends to whose turn it is, whatever it holds."""
 
     def pick(self, now: int, request: Request) -> Backend | None:
-        candidates = self.candidates(now, request)
-        for backend in candidates:
+        fit = self.candidates(now, request)
+        for backend in fit:
             backend.credit += backend.target_rate
-        if not candidates:
+        if not fit:
             return None
-        candidates[0].credit -= sum(backend.target_rate for backend in candidates)
-        return candidates[0]
+        fit[0].credit -= sum(backend.target_rate for backend in fit)
+        return fit[0]
 
 
 class NoSkipping(Variant):
-    """Uses a rotation that never skips a loaded backend."""
+    """Rotation without the rules that pass a backend over."""
 
     def build_rules(self, host: BalancerHost) -> None:
         super().build_rules(host)
@@ -193,7 +189,7 @@
 
 
 class NoFloor(Variant):
-    """Solves target rates without a floor share for each backend."""
+    """No backend keeps a floor share."""
 
     def build_rules(self, host: BalancerHost) -> None:
         super().build_rules(host)
@@ -201,8 +197,6 @@
 
 
 class NoPeers(Variant):
-    """Runs without gossip between peers."""
-
     def __init__(self, host, seed: int, settings: dict, now: int) -> None:
         super().__init__(host, seed, settings | {"policy_limits.peers": False}, now)
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -10,18 +10,18 @@
 from helpers import (
     DiscoveryStandIn,
     Program,
-    ResetUnread,
+    ResettingBackend,
     StandIn,
     cut,
     document,
     ended,
     member,
-    once_open,
     own_address,
     raw,
     read_head,
     read_message,
     reply,
+    reply_once_open,
     request,
     silent,
     wait_for,
@@ -249,7 +249,7 @@
 def test_partly_written_request_counts_as_never_run(start, size, statuses):
     """An at-most-once request is retried if partly written; if completely written, it may have run."""
     limits = {"body_bytes": 8_000_000}
-    program, (resets, _), _ = start(ResetUnread(None), reply(), limits=limits)
+    program, (resets, _), _ = start(ResettingBackend(None), reply(), limits=limits)
     found = {program.ask(request("pay", body=b"x" * size, ident=str(i))).status for i in range(8)}
     assert found == statuses and resets.open
 
@@ -553,7 +553,7 @@
 
 def test_request_id_rejected_with_409_until_last_attempt_ends(start):
     gate = []
-    program, (backend,), _ = start(once_open(gate))
+    program, (backend,), _ = start(reply_once_open(gate))
     with program.connect() as sock, sock.makefile("rb") as source:
         sock.sendall(request("pay", ident="a"))
         wait_for(lambda: backend.seen)
