--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -225,7 +225,7 @@
     path = tmp_path / "gateway.toml"
     path.write_text(text)
     program = Program(tmp_path, document("127.0.0.1:1"), PROXY_GATEWAY=str(path))
-    line = program.ends_at_once()
+    line = program.wait_refused_start()
     assert key in line and str(path) in line
 
 
--- a/tests/test_jsonrpc.py
+++ b/tests/test_jsonrpc.py
@@ -411,7 +411,7 @@
     path = tmp_path / "jsonrpc.toml"
     path.write_text(text)
     program = Program(tmp_path, document("127.0.0.1:1"), PROXY_JSONRPC=str(path))
-    assert key in program.ends_at_once()
+    assert key in program.wait_refused_start()
 
 
 # Properties.
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -322,7 +322,7 @@
 def test_requests_in_progress_and_late_answered_after_sigterm(start):
     gate = []
 
-    program, (backend,), _ = start(once_open(gate))
+    program, (backend,), _ = start(reply_once_open(gate))
     with program.connect() as sock, sock.makefile("rb") as source, program.connect() as idle:
         sock.sendall(request("pay", ident="in-progress"))
         wait_for(lambda: backend.seen)
@@ -414,7 +414,7 @@
 
 
 def test_watch_opens_new_connection_when_discovery_closes_after_list(start):
-    program, _, discovery = start(reply(), one_each=True)
+    program, _, discovery = start(reply(), close_after_answer=True)
     wait_for(lambda: discovery.watches)
     assert discovery.lists == 1
 
@@ -495,7 +495,7 @@
 def test_burst_of_requests_answered_with_few_descriptors(start):
     """Every complete request is answered, even if by 503, and the process never lacks a descriptor."""
     gate = []
-    program, _, _ = start(once_open(gate), files=96)
+    program, _, _ = start(reply_once_open(gate), files=96)
     clients = [program.connect() for _ in range(150)]
     for number, sock in enumerate(clients):
         sock.sendall(request("pay", ident=str(number)))
