--- a/basalthoist/net/lifecycle/handover.py
+++ b/basalthoist/net/lifecycle/handover.py
@@ -55,7 +55,7 @@
         self.timeout_s: float = timeout_s
         self.predecessor: HandoverConnection | None = None
         self.successors: list[HandoverConnection] = []
-        self.listening_socket: socket.socket | None = None  # The listening socket to hand to a successor.
+        self.listening_socket: socket.socket | None = None  # handed to a successor
         self.shares_socket: bool = False  # Whether this process uses its predecessor's listening socket.
         self.server: socket.socket | None = None  # The Unix socket to which successors connect.
         self.predecessor_answer: asyncio.Future[socket.socket | None] | None = None
