--- a/basalthoist/decisions/admission.py
+++ b/basalthoist/decisions/admission.py
@@ -7,13 +7,14 @@
 from .settings import BalancerSettings
 from .units import SECOND
 
-IDLE_ROUNDS = 900  # seconds without a request after which a tenant's usual part is forgotten
-BURST_SECONDS = 3.0  # of its quota that a tenant may save up
-LEAST_BURST = 6.0  # requests; less would take rng for surplus
-USUAL_SMOOTHING = 0.05
-MISS_PENALTY, RECOVERY = 0.1, 0.015  # no surplus is admitted once RECOVERY / MISS_PENALTY of requests miss
-DISTANT_PAST = -8 * SECOND
-SHED_FADE = 0.9
+MAX_IDLE_SECONDS = 900  # a tenant idle for longer no longer counts for this node's fraction of the quotas
+MAX_BURST_SECONDS = 3.0  # a bucket holds at most the quota of this many seconds
+MIN_BURST_REQUESTS = 6.0  # smaller buckets would take random clustering of requests for surplus
+ARRIVAL_RATE_SMOOTHING = 0.05
+# No surplus is admitted once RECOVERY_PER_REQUEST / MISS_PENALTY of the requests miss.
+MISS_PENALTY, RECOVERY_PER_REQUEST = 0.1, 0.015
+INITIAL_FILLED_AT = -8 * SECOND  # a new bucket starts with the tokens of at least 8 s
+SHED_COUNT_DECAY = 0.9
 
 
 class RateLimit(Protocol):
@@ -122,9 +123,12 @@
 class SurplusAdmission:
     """Integral control of the part of surplus requests that is admitted, by misses of what is in quota."""
 
+    The controlled variable is how many requests in quota miss their latency objective.
+    """
+
     def __init__(self, rng: Lcg) -> None:
         self.rng = rng
-        self.admitted: float = 1.0
+        self.admitted_fraction: float = 1.0
 
     def recover(self) -> None:
         """With each request that comes."""
@@ -135,8 +139,8 @@
         self.admitted -= MISS_PENALTY
 
     def sheds(self) -> bool:
-        """Whether one surplus request is to be shed; draws a random number."""
-        return self.rng.uniform() > self.admitted
+        """Draws a random number. Returns whether to shed one surplus request."""
+        return self.rng.uniform() > self.admitted_fraction
 
 
 class ShedLog:
--- a/basalthoist/decisions/backend.py
+++ b/basalthoist/decisions/backend.py
@@ -56,17 +56,18 @@
 
     def __init__(self, endpoint: Endpoint, now: int, rng: Lcg) -> None:
         self.name: str = endpoint.name
-        self.key: int = crc32(endpoint.name.encode()) & KEY_MASK  # by which peers name it; two may share one
-        self.position: float = rng.uniform()  # among those of its zone, see `EndpointIndex`
-        self.available_in: int | None = None  # the zone under which `EndpointIndex` holds it
+        # Identifies the backend in gossip; two backends may share a key.
+        self.key: int = crc32(endpoint.name.encode()) & GOSSIP_KEY_MASK
+        self.position: float = rng.uniform()  # orders the backends of a zone, see `EndpointIndex`
+        self.indexed_zone: int | None = None  # the zone under which `EndpointIndex` lists the backend
         self.open_attempts: list[Attempt] = []
         self.ejection_time: int = FIRST_EJECTION  # of its next ejection
         self.ejected_by: dict[int, int] = {}  # peers that said so, and when
         self.ban_lifted_at: int = 0
-        self.credit: float = 0.0  # in the rotation
-        self.target_rate: float = 0.0  # per second, from this node
-        self.zone_cost: float = 0.0  # what crossing to its zone costs, as a time
-        self.forget(now, rng)
+        self.credit: float = 0.0  # credit in the weighted rotation
+        self.target_rate: float = 0.0  # requests per second from this node
+        self.zone_cost: float = 0.0  # price of crossing to the backend's zone, as a time
+        self.reset_measurements(now, rng)
 
     def learn(self, endpoint: Endpoint, available: bool) -> None:
         """Takes over what the endpoint list says of it."""
@@ -78,8 +79,8 @@
         self.started: int | None = endpoint.started
         self.available: bool = available
 
-    def forget(self, now: int, rng: Lcg) -> None:
-        """Drops what was measured: it has started anew."""
+    def reset_measurements(self, now: int, rng: Lcg) -> None:
+        """Discards all measurements, as the backend has restarted."""
         self.profile: LatencyProfile = LatencyProfile(now)
         self.profiling_stage: int = 0  # 0: none; 1, 2: see `stepwise_profiling`
         self.profiling_rate: float = 0.0
@@ -92,7 +93,7 @@
         self.reported_at: int = -SECOND
         self.health_check_at: int = 0  # 0: none is open
         self.saturated_until: int = 0
-        self.rejections: int = 0  # in a row
+        self.consecutive_rejections: int = 0
         self.slow_start: SlowStart = SlowStart(now, rng)
 
     def is_warming(self, now: int) -> bool:
--- a/basalthoist/decisions/balancer.py
+++ b/basalthoist/decisions/balancer.py
@@ -63,7 +63,7 @@
         host.wake(SECOND, TICK)
 
     def build_rules(self, host: BalancerHost) -> None:
-        """The rules' objects, each with the ones it reads."""
+        """Creates the rules' objects, each with the others that it reads."""
         settings, rng = self.settings, self.rng
         endpoints = EndpointIndex()
         self.schedule = Schedule(host)
@@ -470,9 +470,9 @@
     # The endpoint list, and what operators change.
 
     def on_endpoint_list_failed(self, now: int) -> None:
-        """Discovery did not answer: the host is asked again after a backoff, spread by rng."""
+        """Schedules another request for the endpoint list after a failed one, with backoff and jitter."""
         self.list_failures += 1
-        backoff = min(2**self.list_failures, LIST_BACKOFF_MOST) * (0.5 + self.rng.uniform())
+        backoff = min(2**self.list_failures, MAX_LIST_BACKOFF_SECONDS) * (0.5 + self.rng.uniform())
         self.list_retry_at = now + int(SECOND * backoff)
 
     def on_endpoint_list(self, now: int, entries: list[Endpoint], complete: bool) -> None:
@@ -557,7 +557,7 @@
         self.gossip.update_probability(rate)
         for backend in self.subset.backends:
             if backend not in before:
-                # Guards against all nodes that rush to a new backend: its first turn comes by rng.
+                # Guards against all nodes that send to a new backend at once: its first turn is random.
                 backend.credit = -self.rng.uniform() * self.solver.total_rate
                 backend.profile.restart_window(now)
             if backend.is_warming(now):
--- a/basalthoist/decisions/gossip.py
+++ b/basalthoist/decisions/gossip.py
@@ -54,11 +54,14 @@
         price = max(self.settings.peer_price * told * BYTES_PER_REQUEST / DATAGRAM_BYTES, 1e-6)
         divisor = CPU_DIVISOR_BLIND if self.settings.blind else CPU_DIVISOR
         spare = self.settings.cpu_us_per_s / divisor / CPU_US_PER_DATAGRAM
-        self.probability = min(SPENDABLE / price, spare / max(told * rate, 1.0), 1.0)
-        self.audiences.clear()
+        self.probability = min(MAX_COST_FRACTION / price, spare / max(recipients * rate, 1.0), 1.0)
+        self.peers_by_backend.clear()
 
-    def tell(self, now: int, kind: GossipKind, backend: Backend) -> bool:
-        """Whether it was told, with the freshest reports on others; sends are told by rng."""
+    def announce(self, now: int, kind: GossipKind, backend: Backend) -> bool:
+        """Sends a message to peers, with fresh reports on other backends; a SENT message only at random.
+
+        Returns whether the message was sent.
+        """
         if not self.probability:
             return False
         if kind == GossipKind.SENT and self.rng.uniform() >= self.probability:
--- a/basalthoist/decisions/load_reports.py
+++ b/basalthoist/decisions/load_reports.py
@@ -97,8 +97,8 @@
         self.service_time = times / (sum(b.service_time_count for b in ready) + 1)
         for kind in {backend.kind for backend in ready}:
             alike = [backend for backend in ready if backend.kind == kind]
-            # Guards against rng in a few samples of one backend that passes for speed.
-            pace = (sum(b.service_time_sum for b in alike) / self.service_time + PRIOR_SAMPLES) / (
+            # Guards against taking random variation in a few samples of one backend for its speed.
+            ratio = (sum(b.service_time_sum for b in alike) / self.service_time + PRIOR_SAMPLES) / (
                 sum(b.service_time_count for b in alike) + PRIOR_SAMPLES
             )
             for backend in alike:
--- a/basalthoist/decisions/outlier_detection.py
+++ b/basalthoist/decisions/outlier_detection.py
@@ -79,12 +79,12 @@
         ejected = sum(other.is_ejected(now) for other in self.subset.backends)
         if ejected >= len(self.subset.backends) // 2:
             return False
-        time = int(backend.ejection_time * (0.75 + 0.5 * self.rng.uniform()))
-        backend.outlier.ejected_until = now + time
-        backend.ejection_time = min(backend.ejection_time * 3 // 2, LONGEST_EJECTION)
-        backend.outlier.keep_on_trial()
-        figures = f"{len(backend.open_attempts)} unanswered, fleet fails {self.usual_failure_rate:.0%}"
-        self.host.log(f"ejected {backend.name}: {figures}, back in {time / SECOND:.1f} s")
+        duration = int(backend.next_ejection_duration * (0.75 + 0.5 * self.rng.uniform()))
+        backend.outlier.ejected_until = now + duration
+        backend.next_ejection_duration = min(backend.next_ejection_duration * 3 // 2, MAX_EJECTION)
+        backend.outlier.reset_after_ejection()
+        figures = f"{len(backend.open_attempts)} unanswered, usual failure rate {self.usual_failure_rate:.0%}"
+        self.host.log(f"ejected {backend.name}: {figures}, back in {duration / SECOND:.1f} s")
         return True
 
     def reinstate_answering(self, now: int, backend: "Backend") -> None:
--- a/basalthoist/decisions/registry.py
+++ b/basalthoist/decisions/registry.py
@@ -37,8 +37,8 @@
         if backend is None:
             backend = self.add(now, entry)
         elif entry.started is not None and entry.started != backend.started:
-            backend.forget(now, self.rng)
-        backend.learn(entry, entry.state == "healthy" and entry.name not in self.banned)
+            backend.reset_measurements(now, self.rng)
+        backend.update_endpoint(entry, entry.state == "healthy" and entry.name not in self.banned)
         self.endpoints.update(backend)
         started = entry.started
         backend.slow_start.warm_at = 0 if started is None else started + self.settings.warm_within
@@ -47,7 +47,7 @@
         return backend
 
     def add(self, now: int, entry: Endpoint) -> Backend:
-        """One that was not listed before."""
+        """Adds a backend that was not listed before."""
         backend = self.backends[entry.name] = Backend(entry, now, self.rng)
         if self.on_ring:
             backend.position = backend.key / KEY_RANGE
@@ -74,7 +74,7 @@
         backend = self.backends.get(name)
         if backend is None:
             return
-        fresh = self.backends[name] = Backend(backend.endpoint, now, self.rng)
-        fresh.position, fresh.ban_lifted_at, fresh.started = backend.position, now, now
+        replacement = self.backends[name] = Backend(backend.endpoint, now, self.rng)
+        replacement.position, replacement.ban_lifted_at, replacement.started = backend.position, now, now
         self.discard(backend)
         self.by_key.add(fresh)
--- a/basalthoist/decisions/retry.py
+++ b/basalthoist/decisions/retry.py
@@ -33,9 +33,9 @@
         return self.causes_no_duplicate(request, len(attempts), backend, now)
 
     def causes_no_duplicate(self, request: Request, attempts_before: int, backend: Backend, now: int) -> bool:
-        """Whether its effect would not happen twice, after the first `attempts_before` attempts."""
-        ran = [a for a in request.attempts[:attempts_before] if a.outcome not in NEVER_RAN]
-        if not ran or request.route.is_idempotent:
+        """Returns whether an attempt after the first `attempts_before` ones causes no duplicate effect."""
+        executed = [a for a in request.attempts[:attempts_before] if a.outcome not in NEVER_RAN]
+        if not executed or request.route.is_idempotent:
             return True
         return self.dedup_time_left(request, ran, now) > 0 and self.in_scope(request, ran[0].backend, backend)
 
--- a/basalthoist/decisions/slow_start.py
+++ b/basalthoist/decisions/slow_start.py
@@ -28,7 +28,7 @@
     def __init__(self, now: int, rng: Lcg) -> None:
         self.warm_at: int = 0
         self.rate: float = 0.0
-        # Guards against hundreds of nodes that each send a new backend one at the same time.
+        # Guards against hundreds of nodes that each send a new backend a request at the same time.
         self.tokens: float = rng.uniform()
         self.tokens_at: int = now
 
--- a/basalthoist/emulator/backends.py
+++ b/basalthoist/emulator/backends.py
@@ -1,4 +1,4 @@
-"""One backend: slots and a finite queue, cold and slow phases, crowding, pauses, errors, deaths."""
+"""Model of one backend: slots, a bounded queue, warm-up, slowdown, overload, freezes, errors and crashes."""
 
 from collections import deque
 from collections.abc import Callable
@@ -6,75 +6,83 @@
 
 from basalthoist.decisions.interface import Endpoint, LoadReport, Outcome
 
-from .events import SECOND, Due, Events
+from .events import SECOND, Events, Timer
 from .scenario import Backends, Kind
 
-Answer = Callable[[Outcome, LoadReport | None], None]
-ERROR_TIME = 10  # a backend that fails does so at once
+OnDone = Callable[[Outcome, LoadReport | None], None]
+ERROR_TIME = 10  # tenths of a millisecond; errors are returned almost immediately
 
 
 class Job:
-    """An exchange at a backend: its work in tenths on a warm backend of speed 1, and who waits for it."""
+    """A request at a backend. `work` is the service time on a warm backend of speed 1, in tenths of a ms."""
 
-    __slots__ = ("ident", "work", "answer", "due", "left", "ends_at")
+    __slots__ = ("ident", "work", "on_done", "timer", "remaining", "ends_at")
 
-    def __init__(self, ident: int, work: float, answer: Answer | None) -> None:
-        self.ident, self.work, self.answer = ident, work, answer
-        self.due: Due | None = None
-        self.left, self.ends_at = 0, 0
+    def __init__(self, ident: int, work: float, on_done: OnDone | None) -> None:
+        self.ident, self.work, self.on_done = ident, work, on_done
+        self.timer: Timer | None = None
+        self.remaining, self.ends_at = 0, 0
 
 
 class Server:
     def __init__(self, events: Events, name: str, location: int, pod: int, kind: Kind, kind_no: int,
-                 of: Backends, rng: Random, ran: Callable[[int, str], None],
-                 fell: Callable[["Server"], None]) -> None:  # fmt: skip
+                 settings: Backends, rng: Random, on_execution: Callable[[int, str], None],
+                 on_overload_crash: Callable[["Server"], None]) -> None:  # fmt: skip
         self.events, self.name, self.location, self.pod, self.kind, self.kind_no = (
             events, name, location, pod, kind, kind_no)  # fmt: skip
-        self.of, self.rng, self.ran, self.fell = of, rng, ran, fell
+        self.settings, self.rng, self.on_execution, self.on_overload_crash = (
+            settings,
+            rng,
+            on_execution,
+            on_overload_crash,
+        )
         self.alive, self.draining, self.frozen, self.listed = True, False, False, True
-        self.slow, self.good = 1.0, 1.0  # factor on its times; share of the exchanges that it does not fail
+        self.slowdown, self.success_rate = 1.0, 1.0  # factor on service times; success probability
         self.started: int | None = None
-        self.life = 0  # counts its starts; what belongs to an earlier one is void
+        self.incarnation = 0  # events of an earlier incarnation are ignored
         self.running: set[Job] = set()
         self.waiting: deque[Job] = deque()
-        self.pushed: deque[tuple[int, float]] = deque()
+        self.recent_arrivals: deque[tuple[int, float]] = deque()
 
-    # What the fleet sees of it.
+    # State visible to the fleet.
 
     def entry(self, state: str | None = None) -> Endpoint:
         state = state or ("draining" if self.draining else "healthy")
         return Endpoint(self.name, self.location, self.kind_no, self.pod, state, 1.0, self.started)
 
-    def held(self) -> int:
+    def in_flight(self) -> int:
         return len(self.running) + len(self.waiting)
 
     def load(self) -> LoadReport | None:
-        if not self.of.reports:
+        if not self.settings.reports:
             return None
         busy = min(len(self.running) / self.kind.slots, 1.0)
-        return LoadReport(float(self.held()), float(len(self.waiting)), busy)
+        return LoadReport(float(self.in_flight()), float(len(self.waiting)), busy)
 
     def warmth(self) -> float:
-        if self.started is None or self.of.warm_s <= 0:
+        if self.started is None or self.settings.warm_s <= 0:
             return 1.0
-        age = (self.events.now - self.started) / (self.of.warm_s * SECOND)
-        return min(self.of.cold_from + (1.0 - self.of.cold_from) * max(age, 0.0), 1.0)
+        age = (self.events.now - self.started) / (self.settings.warm_s * SECOND)
+        return min(self.settings.cold_from + (1.0 - self.settings.cold_from) * max(age, 0.0), 1.0)
 
     def capacity(self) -> float:
-        """Work that it can do in a second, in seconds."""
-        return self.kind.slots * self.kind.speed * self.warmth() / self.slow
+        """Returns the work that it can do per second, in seconds of work."""
+        return self.kind.slots * self.kind.speed * self.warmth() / self.slowdown
 
     def time_for(self, work: float) -> float:
-        crowd = self.of.crowded_at and self.held() > self.of.crowded_at * self.kind.slots
+        crowded = self.settings.crowded_at and self.in_flight() > self.settings.crowded_at * self.kind.slots
         return (
-            work * self.slow / (self.kind.speed * self.warmth()) * (self.of.crowded_factor if crowd else 1.0)
+            work
+            * self.slowdown
+            / (self.kind.speed * self.warmth())
+            * (self.settings.crowded_factor if crowded else 1.0)
         )
 
-    # What happens to it.
+    # Requests and faults.
 
     def offer(self, job: Job) -> None:
-        """A whole request has come. Nothing is ever refused unseen to a frozen one: it holds it."""
-        if self.push(job.work):
+        """Takes a complete request. A frozen backend does not start it, but queues it."""
+        if self.overloads(job.work):
             return
         if self.draining or len(self.waiting) >= self.kind.queue and len(self.running) >= self.kind.slots:
             self.reply(job, Outcome.REJECTED)
@@ -85,80 +93,86 @@
 
     def begin(self, job: Job) -> None:
         self.running.add(job)
-        self.ran(job.ident, self.name)
-        failed = self.good < 1.0 and self.rng.random() > self.good
-        took = ERROR_TIME if failed else self.time_for(job.work)
-        job.ends_at = self.events.now + int(took)
-        job.due = self.events.after(
-            took, lambda: self.end(job, Outcome.ERROR if failed else Outcome.COMPLETED)
+        self.on_execution(job.ident, self.name)
+        failed = self.success_rate < 1.0 and self.rng.random() > self.success_rate
+        duration = ERROR_TIME if failed else self.time_for(job.work)
+        job.ends_at = self.events.now + int(duration)
+        job.timer = self.events.after(
+            duration, lambda: self.end(job, Outcome.ERROR if failed else Outcome.COMPLETED)
         )
 
     def end(self, job: Job, outcome: Outcome) -> None:
         self.running.discard(job)
         self.reply(job, outcome)
-        self.go_on()
+        self.start_queued()
 
-    def go_on(self) -> None:
+    def start_queued(self) -> None:
         while self.waiting and len(self.running) < self.kind.slots and not self.frozen and self.alive:
             self.begin(self.waiting.popleft())
 
     def reply(self, job: Job, outcome: Outcome) -> None:
-        if job.answer is not None:
-            job.answer(outcome, self.load())
-            job.answer = None
+        if job.on_done is not None:
+            job.on_done(outcome, self.load())
+            job.on_done = None
 
     def abandon(self, job: Job) -> None:
-        """Whoever waited has ended its sending. What runs goes on, or not; what waits is dropped."""
-        job.answer = None
+        """Cancels a job: drops a queued one, and stops a running one unless `work_left_on_cancel` is set."""
+        job.on_done = None
         if job in self.waiting:
             self.waiting.remove(job)
-        elif job in self.running and not self.of.work_left_on_cancel:
-            job.due.stop()
+        elif job in self.running and not self.settings.work_left_on_cancel:
+            job.timer.stop()
             self.running.discard(job)
-            self.go_on()
+            self.start_queued()
 
     def freeze(self) -> None:
         if not self.frozen and self.alive:
             self.frozen = True
             for job in self.running:
-                job.due.stop()
-                job.left = max(job.ends_at - self.events.now, 0)
+                job.timer.stop()
+                job.remaining = max(job.ends_at - self.events.now, 0)
 
     def thaw(self) -> None:
         if self.frozen:
             self.frozen = False
-            for job in sorted(self.running, key=lambda job: (job.left, job.ident)):
-                job.ends_at = self.events.now + job.left
-                job.due = self.events.after(job.left, lambda job=job: self.end(job, Outcome.COMPLETED))
-            self.go_on()
-
-    def die(self) -> None:
-        """Its process ends: connections are reset, new ones refused."""
-        self.alive, self.frozen, self.life = False, False, self.life + 1
+            for job in sorted(self.running, key=lambda job: (job.remaining, job.ident)):
+                job.ends_at = self.events.now + job.remaining
+                job.timer = self.events.after(job.remaining, lambda job=job: self.end(job, Outcome.COMPLETED))
+            self.start_queued()
+
+    def crash(self) -> None:
+        """Ends the process: open connections are reset, new ones refused."""
+        self.alive, self.frozen, self.incarnation = False, False, self.incarnation + 1
         jobs = sorted(self.running, key=lambda job: job.ident) + list(self.waiting)
         self.running.clear()
         self.waiting.clear()
-        self.pushed.clear()
+        self.recent_arrivals.clear()
         for job in jobs:
-            if job.due is not None:
-                job.due.stop()
-            if job.answer is not None:
-                job.answer(Outcome.RESET, None)
-                job.answer = None
+            if job.timer is not None:
+                job.timer.stop()
+            if job.on_done is not None:
+                job.on_done(Outcome.RESET, None)
+                job.on_done = None
 
     def start(self) -> None:
         self.alive, self.draining, self.started = True, False, self.events.now
 
-    def push(self, work: float) -> bool:
-        """A cold one that gets more than a multiple of what it can do, in any window, falls over."""
-        multiple, window = self.of.fall_multiple, int(self.of.fall_s * SECOND)
+    def overloads(self, work: float) -> bool:
+        """Records arriving work; returns True if this crashes the backend.
+
+        While it is warming up, it crashes when the work that arrives within `fall_s` exceeds
+        `fall_multiple` times its current capacity.
+        """
+        multiple, window = self.settings.fall_multiple, int(self.settings.fall_s * SECOND)
         if not multiple or self.warmth() >= 1.0:
             return False
-        self.pushed.append((self.events.now, work / SECOND))
-        while self.pushed[0][0] <= self.events.now - window:
-            self.pushed.popleft()
-        allowed = multiple * self.capacity() * self.of.fall_s + 4 * work / SECOND  # a little slack for rng
-        if sum(part for _, part in self.pushed) <= allowed:
+        self.recent_arrivals.append((self.events.now, work / SECOND))
+        while self.recent_arrivals[0][0] <= self.events.now - window:
+            self.recent_arrivals.popleft()
+        allowed = (
+            multiple * self.capacity() * self.settings.fall_s + 4 * work / SECOND
+        )  # slack for random bursts
+        if sum(seconds for _, seconds in self.recent_arrivals) <= allowed:
             return False
-        self.fell(self)
+        self.on_overload_crash(self)
         return True
--- a/basalthoist/emulator/baselines.py
+++ b/basalthoist/emulator/baselines.py
@@ -1,4 +1,4 @@
-"""Policies to compare with. They keep the rules in the simplest way that does; none is used by `Balancer`."""
+"""Baseline policies for comparison. They follow the four rules in the simplest way."""
 
 from collections.abc import Callable
 from random import Random
@@ -10,147 +10,151 @@
 from basalthoist.decisions.rotation import Rotation
 
 
-class Plain:
-    """Sends to what `choose` names, tries again elsewhere where that is allowed, and sheds when it can't."""
+class SimplePolicy:
+    """Sends to the backend that `choose` returns; retries elsewhere where that is safe, otherwise sheds."""
 
     def __init__(self, host, seed: int, settings: dict, now: int) -> None:
         self.host, self.settings, self.rng = host, settings, Random(seed)
-        self.fit: dict[str, object] = {}
-        self.open: dict[int, dict] = {}
-        self.out: dict[str, int] = {}
+        self.healthy: dict[str, object] = {}
+        self.requests: dict[int, dict] = {}
+        self.in_flight: dict[str, int] = {}
         self.turn = self.rng.randrange(1 << 30)
 
     def choose(self, names: list[str], now: int) -> str:
         raise NotImplementedError
 
-    def causes_no_duplicate(self, request: dict) -> bool:
-        ran = [one for one in request["ends"] if one not in NEVER_RAN]
-        return not ran or request["semantics"] == "idempotent"
+    def may_retry(self, request: dict) -> bool:
+        may_have_run = [outcome for outcome in request["outcomes"] if outcome not in NEVER_RAN]
+        return not may_have_run or request["semantics"] == "idempotent"
 
-    def on_request(self, now: int, ident: int, route: int, customer: int, grace: int, again: bool) -> None:
+    def on_request(
+        self, now: int, ident: int, route: int, tenant: int, time_left: int, is_retry: bool
+    ) -> None:
         semantics = self.settings[f"routes.{route}.semantics"]
-        self.open[ident] = {
+        self.requests[ident] = {
             "semantics": semantics,
-            "until": now + grace,
-            "ends": [],
+            "deadline": now + time_left,
+            "outcomes": [],
             "sent": [],
-            "over": False,
+            "answered": False,
         }
-        self.place(now, ident)
-        self.host.wake(max(grace - 1, 0), f"end {ident}")
+        self.send_next(now, ident)
+        self.host.wake(max(time_left - 1, 0), f"end {ident}")
 
-    def place(self, now: int, ident: int) -> None:
-        request = self.open[ident]
-        names = [name for name in self.fit if name not in request["sent"]] or list(self.fit)
+    def send_next(self, now: int, ident: int) -> None:
+        request = self.requests[ident]
+        names = [name for name in self.healthy if name not in request["sent"]] or list(self.healthy)
         if not names or len(request["sent"]) >= self.settings["policy_limits.max_upstream_tries"]:
             return self.give_up(ident)
         name = self.choose(names, now)
         request["sent"].append(name)
-        self.out[name] = self.out.get(name, 0) + 1
-        self.host.send(ident, name, max(request["until"] - now - 1, 1))
+        self.in_flight[name] = self.in_flight.get(name, 0) + 1
+        self.host.send(ident, name, max(request["deadline"] - now - 1, 1))
 
     def give_up(self, ident: int) -> None:
-        request = self.open[ident]
-        if not request["over"]:
-            request["over"] = True
-            ran = len(request["ends"]) < len(request["sent"]) or any(
-                end not in NEVER_RAN for end in request["ends"]
+        request = self.requests[ident]
+        if not request["answered"]:
+            request["answered"] = True
+            may_have_run = len(request["outcomes"]) < len(request["sent"]) or any(
+                outcome not in NEVER_RAN for outcome in request["outcomes"]
             )
-            if ran and request["semantics"] != "idempotent":
+            if may_have_run and request["semantics"] != "idempotent":
                 self.host.fail(ident)
             else:
                 self.host.shed(ident, 0)
-            if len(request["ends"]) < len(request["sent"]):
+            if len(request["outcomes"]) < len(request["sent"]):
                 self.host.cancel(ident, len(request["sent"]) - 1)
 
     def on_attempt_ended(
-        self, now: int, ident: int, number: int, outcome: Outcome, took: int, over: bool, load
+        self, now: int, ident: int, number: int, outcome: Outcome, duration: int, over: bool, load
     ) -> None:
-        if (request := self.open.get(ident)) is None:
+        if (request := self.requests.get(ident)) is None:
             return
         name = request["sent"][number]
-        self.out[name] -= 1
-        request["ends"].append(outcome)
-        if over or request["over"]:
-            request["over"] = True
-            if len(request["ends"]) == len(request["sent"]):
-                del self.open[ident]
-        elif now < request["until"] - 1 and self.causes_no_duplicate(request):
-            self.place(now, ident)
+        self.in_flight[name] -= 1
+        request["outcomes"].append(outcome)
+        if over or request["answered"]:
+            request["answered"] = True
+            if len(request["outcomes"]) == len(request["sent"]):
+                del self.requests[ident]
+        elif now < request["deadline"] - 1 and self.may_retry(request):
+            self.send_next(now, ident)
         else:
             self.give_up(ident)
 
     def on_wake(self, now: int, tag: str) -> None:
         ident = int(tag.split()[1])
-        if ident in self.open:
+        if ident in self.requests:
             self.give_up(ident)
 
     def on_client_gone(self, now: int, ident: int) -> None:
-        request = self.open.pop(ident, None)
+        request = self.requests.pop(ident, None)
         if request is not None:
-            for number in range(len(request["ends"]), len(request["sent"])):
-                self.out[request["sent"][number]] -= 1
+            for number in range(len(request["outcomes"]), len(request["sent"])):
+                self.in_flight[request["sent"][number]] -= 1
                 self.host.cancel(ident, number)
 
-    def on_endpoint_list(self, now: int, entries, whole: bool) -> None:
-        if whole:
-            self.fit.clear()
+    def on_endpoint_list(self, now: int, entries, complete: bool) -> None:
+        if complete:
+            self.healthy.clear()
         for entry in entries:
-            self.fit.pop(entry.name, None)
+            self.healthy.pop(entry.name, None)
             if entry.state == "healthy":
-                self.fit[entry.name] = entry
+                self.healthy[entry.name] = entry
 
     def on_endpoint_list_failed(self, now: int) -> None: ...
-    def on_health_check_ended(self, now: int, name: str, outcome: Outcome, took: int, load) -> None: ...
-    def on_gossip(self, now: int, peer: int, words) -> None: ...
+    def on_health_check_ended(self, now: int, name: str, outcome: Outcome, duration: int, load) -> None: ...
+    def on_gossip(self, now: int, peer: int, reports) -> None: ...
     def on_response_started(self, now: int, ident: int, number: int) -> None: ...
 
 
-class RandomChoice(Plain):
+class RandomChoice(SimplePolicy):
     def choose(self, names: list[str], now: int) -> str:
         return self.rng.choice(names)
 
 
-class RoundRobin(Plain):
+class RoundRobin(SimplePolicy):
     def choose(self, names: list[str], now: int) -> str:
         self.turn += 1
         return names[self.turn % len(names)]
 
 
-class LeastOutstanding(Plain):
+class LeastOutstanding(SimplePolicy):
     def choose(self, names: list[str], now: int) -> str:
-        least = min(self.out.get(name, 0) for name in names)
-        return self.rng.choice([name for name in names if self.out.get(name, 0) == least])
+        least = min(self.in_flight.get(name, 0) for name in names)
+        return self.rng.choice([name for name in names if self.in_flight.get(name, 0) == least])
 
 
-class TwoChoices(Plain):
+class TwoChoices(SimplePolicy):
     def choose(self, names: list[str], now: int) -> str:
-        return min(self.rng.sample(names, min(2, len(names))), key=lambda name: self.out.get(name, 0))
+        return min(self.rng.sample(names, min(2, len(names))), key=lambda name: self.in_flight.get(name, 0))
 
 
-class Oracle(Plain):
-    """Sees the true state of every backend and path: what no node can."""
+class Oracle(SimplePolicy):
+    """Uses the true state of every backend and path, which no real node can see."""
 
     def choose(self, names: list[str], now: int) -> str:
         fleet = self.host.fleet
 
-        def wait(name: str) -> float:
+        def expected_wait(name: str) -> float:
             server = fleet.servers[name]
-            there = server.alive and not server.frozen and not server.draining
-            there = there and fleet.paths.open(self.host.location, server.location)
-            if not there:
+            reachable = server.alive and not server.frozen and not server.draining
+            reachable = reachable and fleet.paths.is_open(self.host.location, server.location)
+            if not reachable:
                 return 1e9 + self.rng.random()
-            return (server.held() + self.host.fleet.under_way(name) + 1) / (server.capacity() * server.good)
+            return (server.in_flight() + self.host.fleet.in_transit_to(name) + 1) / (
+                server.capacity() * server.success_rate
+            )
 
-        return min(names, key=wait)
+        return min(names, key=expected_wait)
 
 
 class Variant(Balancer):
-    """`Balancer` with a part of the design switched off, for experiments alone."""
+    """`Balancer` with one mechanism switched off, for experiments only."""
 
 
 class NoStepwise(Variant):
-    """New backends stand as their kind's mean from the start."""
+    """Skips stepwise profiling: new backends start with the mean profile of their kind."""
 
     def choose(self, now: int) -> None:
         super().choose(now)
@@ -159,20 +163,20 @@
 
 
 class NoSkippingRotation(Rotation):
-    """Sends to whose turn it is, whatever it holds."""
+    """Sends to the backend whose turn it is, regardless of its load."""
 
     def pick(self, now: int, request: Request) -> Backend | None:
-        fit = self.candidates(now, request)
-        for backend in fit:
+        candidates = self.candidates(now, request)
+        for backend in candidates:
             backend.credit += backend.target_rate
-        if not fit:
+        if not candidates:
             return None
-        fit[0].credit -= sum(backend.target_rate for backend in fit)
-        return fit[0]
+        candidates[0].credit -= sum(backend.target_rate for backend in candidates)
+        return candidates[0]
 
 
 class NoSkipping(Variant):
-    """Rotation without the rules that pass a backend over."""
+    """Uses a rotation that never skips a loaded backend."""
 
     def build_rules(self, host: BalancerHost) -> None:
         super().build_rules(host)
@@ -189,7 +193,7 @@
 
 
 class NoFloor(Variant):
-    """No backend keeps a floor share."""
+    """Solves target rates without a floor share for each backend."""
 
     def build_rules(self, host: BalancerHost) -> None:
         super().build_rules(host)
@@ -197,6 +201,8 @@
 
 
 class NoPeers(Variant):
+    """Runs without gossip between peers."""
+
     def __init__(self, host, seed: int, settings: dict, now: int) -> None:
         super().__init__(host, seed, settings | {"policy_limits.peers": False}, now)
 
--- a/basalthoist/emulator/clients.py
+++ b/basalthoist/emulator/clients.py
@@ -1,4 +1,4 @@
-"""Open-loop clients: they come by rng, wait no longer than they said, try again where it is harmless."""
+"""Open-loop clients: they arrive at random, wait up to their timeout, and retry where that is safe."""
 
 from math import log, sqrt
 from random import Random
@@ -8,7 +8,7 @@
 
 
 def work_of(route: Route, rng: Random) -> float:
-    """Tenths of a millisecond on a warm backend of speed 1, drawn once for an exchange."""
+    """Draws a request's service time on a warm backend of speed 1, in tenths of a millisecond."""
     mean = 10 * route.service_ms
     if route.distribution == "constant" or route.distribution == "lognormal" and not route.spread:
         return mean
@@ -19,106 +19,120 @@
 
 
 class Client:
-    """One client's wish: a first try and what follows, up to its time-out."""
+    """One client call: a first request and its retries, up to the client's timeout."""
 
     __slots__ = (
-        "crowd",
+        "population",
         "route_number",
-        "customer",
+        "tenant",
         "work",
-        "came_at",
-        "tries",
+        "arrived_at",
+        "attempts",
         "ident",
         "node",
         "ended",
-        "patience",
+        "abandon_after",
     )
 
-    def __init__(self, crowd: "Crowd", route_number: int, customer: int, work: float, patience: int) -> None:
-        self.crowd, self.route_number, self.customer, self.work = crowd, route_number, customer, work
-        self.came_at, self.tries, self.ident, self.node, self.ended = crowd.events.now, 0, 0, None, False
-        self.patience = patience
-
-    def ask(self) -> None:
-        left = self.came_at + self.patience - self.crowd.events.now
-        if self.ended or left <= 0:
+    def __init__(
+        self, population: "ClientPopulation", route_number: int, tenant: int, work: float, abandon_after: int
+    ) -> None:
+        self.population, self.route_number, self.tenant, self.work = population, route_number, tenant, work
+        self.arrived_at, self.attempts, self.ident, self.node, self.ended = (
+            population.events.now,
+            0,
+            0,
+            None,
+            False,
+        )
+        self.abandon_after = abandon_after
+
+    def send_request(self) -> None:
+        remaining = self.arrived_at + self.abandon_after - self.population.events.now
+        if self.ended or remaining <= 0:
             return self.end("expired")
-        self.node = self.crowd.fleet.node_for_client()
-        self.tries += 1
+        self.node = self.population.fleet.node_for_client()
+        self.attempts += 1
         if self.node is None or not self.node.alive:
-            self.crowd.events.after(10, self.unreachable)
+            self.population.events.after(10, self.unreachable)
             return
-        self.ident = self.crowd.next_ident()
-        self.crowd.idents[self.ident] = self
-        again = self.tries > 1
-        timeout = self.crowd.timeouts[self.route_number]
-        if self.patience < timeout:
-            self.crowd.events.after(left, self.leave)
-        grace = self.came_at + timeout - self.crowd.events.now
-        self.node.take(self, self.ident, self.route_number, self.customer, grace, self.work, again)
-
-    def leave(self) -> None:
+        self.ident = self.population.next_ident()
+        self.population.idents[self.ident] = self
+        is_retry = self.attempts > 1
+        timeout = self.population.timeouts[self.route_number]
+        if self.abandon_after < timeout:
+            self.population.events.after(remaining, self.give_up)
+        time_left = self.arrived_at + timeout - self.population.events.now
+        self.node.on_client_request(
+            self, self.ident, self.route_number, self.tenant, time_left, self.work, is_retry
+        )
+
+    def give_up(self) -> None:
         if not self.ended:
             self.node.client_left(self.ident)
             self.end("left")
 
-    def answered(self, final: str, advice: int) -> None:
-        if final == "served":
-            return self.end(final)
-        harmless = final == "shed" or self.crowd.routes[self.route_number].semantics == "retriable"
-        self.again(final, harmless, advice)
+    def answered(self, result: str, retry_after: int) -> None:
+        if result == "served":
+            return self.end(result)
+        safe_to_retry = result == "shed" or self.population.routes[self.route_number].semantics == "retriable"
+        self.retry_or_end(result, safe_to_retry, retry_after)
 
     def unreachable(self) -> None:
-        """Its node is dead: refused before anything was sent, or reset on the way."""
-        sent = self.ident and self.crowd.fleet.ledger.records[self.ident].sent
-        harmless = not sent or self.crowd.routes[self.route_number].semantics == "retriable"
-        self.again("unreachable", harmless, 0)
+        """Handles a dead node: the connection was refused, or reset while the request was open."""
+        sent = self.ident and self.population.fleet.rule_checker.records[self.ident].sent
+        safe_to_retry = not sent or self.population.routes[self.route_number].semantics == "retriable"
+        self.retry_or_end("unreachable", safe_to_retry, 0)
 
-    def again(self, final: str, harmless: bool, advice: int) -> None:
+    def retry_or_end(self, result: str, safe_to_retry: bool, retry_after: int) -> None:
         if self.ended:
             return
-        if not harmless or self.tries > self.crowd.load.retries:
-            return self.end(final)
-        wait = max(advice, 10 * self.crowd.load.backoff_ms * 2 ** (self.tries - 1))
-        self.crowd.events.after(wait * (0.5 + self.crowd.rng("backoff").random()), self.ask)
-
-    def end(self, final: str) -> None:
+        if not safe_to_retry or self.attempts > self.population.load.retries:
+            return self.end(result)
+        backoff = max(retry_after, 10 * self.population.load.backoff_ms * 2 ** (self.attempts - 1))
+        self.population.events.after(
+            backoff * (0.5 + self.population.rng("backoff").random()), self.send_request
+        )
+
+    def end(self, result: str) -> None:
         if not self.ended:
             self.ended = True
-            self.crowd.results.end(self, final)
+            self.population.results.end(self, result)
 
 
-class Crowd:
+class ClientPopulation:
     def __init__(self, fleet, results) -> None:
         self.fleet, self.results, self.events, self.rng = fleet, results, fleet.events, fleet.rng
         scenario = fleet.scenario
         self.load, self.routes = scenario.load, scenario.routes
         self.timeouts = [int(route.timeout_ms * 10) for route in scenario.routes]
-        self.shares = [route.share for route in scenario.routes]
-        self.customers = [customer.share for customer in scenario.customers]
-        self.factor, self.idents, self.last = 1.0, {}, 0
+        self.route_shares = [route.share for route in scenario.routes]
+        self.tenant_shares = [tenant.share for tenant in scenario.customers]
+        self.rate_factor, self.idents, self.last_ident = 1.0, {}, 0
         self.stop_at = int(scenario.length_s * SECOND)
 
     def next_ident(self) -> int:
-        self.last += 1
-        return self.last
+        self.last_ident += 1
+        return self.last_ident
 
     def start(self) -> None:
-        self.events.after(self.gap(), self.come)
+        self.events.after(self.gap(), self.arrive)
 
     def gap(self) -> float:
-        return self.rng("arrivals").expovariate(self.load.rate * self.factor / SECOND)
+        return self.rng("arrivals").expovariate(self.load.rate * self.rate_factor / SECOND)
 
-    def come(self) -> None:
+    def arrive(self) -> None:
         if self.events.now >= self.stop_at:
             return
         rng = self.rng("exchanges")
-        route_number = rng.choices(range(len(self.routes)), self.shares)[0]
-        customer = rng.choices(range(len(self.customers)), self.customers)[0] if self.customers else 0
+        route_number = rng.choices(range(len(self.routes)), self.route_shares)[0]
+        tenant = (
+            rng.choices(range(len(self.tenant_shares)), self.tenant_shares)[0] if self.tenant_shares else 0
+        )
         timeout = self.timeouts[route_number]
-        early = rng.random() < self.load.gives_up
-        patience = int(timeout * self.load.gives_up_after) if early else timeout
-        client = Client(self, route_number, customer, work_of(self.routes[route_number], rng), patience)
-        self.results.come(client)
-        client.ask()
-        self.events.after(self.gap(), self.come)
+        abandons = rng.random() < self.load.gives_up
+        abandon_after = int(timeout * self.load.gives_up_after) if abandons else timeout
+        client = Client(self, route_number, tenant, work_of(self.routes[route_number], rng), abandon_after)
+        self.results.add(client)
+        client.send_request()
+        self.events.after(self.gap(), self.arrive)
--- a/basalthoist/emulator/distribution_faults.py
+++ b/basalthoist/emulator/distribution_faults.py
@@ -1,6 +1,6 @@
-"""Fault injection on the simulated distribution.
+"""Injects random faults into the simulated distribution.
 
-`python -m basalthoist.emulator.storms FIRST LAST` tries seeds.
+`python -m basalthoist.emulator.distribution_faults FIRST LAST` runs the seeds from FIRST to LAST - 1.
 """
 
 import sys
@@ -12,7 +12,7 @@
 from .distributed import Distributed, Node, SimulatedProcess, route, tenant
 from .replicas import Broken
 
-# Short, so that much happens in little time; clocks are 10% off.
+# Short times, so that a run covers many events; clocks drift by up to 10%.
 REGISTER_BOUNDS = FleetBounds(
     lease=10_000, heartbeat_interval=1_500, fresh=5_000, stale=15_000, drift=0.1, call_timeout=30_000
 )
@@ -31,26 +31,28 @@
 TENANTS = 12
 ROUTES = 20
 KINDS = "kill die lose freeze freeze region alone alone torn reverted break slow zone".split()
-STOPS = "kill", "die", "lose", "torn", "reverted"  # after which a process begins another incarnation
-DURATIONS = 0.3, 1.0, 3.0  # of a fault, in leases
-GAPS = 0.7, 2.0, 5.0  # between two faults on average, in leases
-Delay = tuple[int, int]  # of a message: the least and the most
+RESTARTS = "kill", "die", "lose", "torn", "reverted"  # kinds that restart the process
+FAULT_DURATIONS = 0.3, 1.0, 3.0  # in leases
+MEAN_GAPS = 0.7, 2.0, 5.0  # between two faults, in leases
+DelayRange = tuple[int, int]  # shortest and longest delay of a message
 
 
 class DistributionFaultInjector:
-    """Faults by rng. Memory and disk are lost together by a minority of the voters at most, at once."""
+    """Injects random faults. At most a minority of the voters lose memory and file at the same time."""
 
-    def __init__(self, world: Distributed, faults: int, call_chance: float = 0.5, gap: float = 0.0) -> None:
+    def __init__(
+        self, world: Distributed, faults: int, call_probability: float = 0.5, gap: float = 0.0
+    ) -> None:
         self.world = world
         self.faults = faults
         self.random = world.rng
-        self.call_chance = call_chance
-        self.injected: list[str] = []  # for whoever reads a failure
-        self.gap: float = gap or self.random.choice(GAPS)
+        self.call_probability = call_probability
+        self.injected: list[str] = []  # faults so far, for the analysis of a failure
+        self.gap: float = gap or self.random.choice(MEAN_GAPS)
         self.last_call = 0
 
     def run(self) -> None:
-        """Raises Broken where a promise is not kept, also that all is well soon after the last fault."""
+        """Injects all faults. Raises Broken if a guarantee is violated or the world does not recover soon."""
         world, random = self.world, self.random
         usual_delay = world.delay
         names, gap_mean = [*world.by_name], self.gap * world.bounds.lease
@@ -60,16 +62,16 @@
             gap = int(random.expovariate(1 / gap_mean))
             for _ in range(3):
                 world.run(world.at + gap // 3)
-                if random.random() < self.call_chance:
+                if random.random() < self.call_probability:
                     self.call()
             name = self.draw_process(names)
-            kind, duration = random.choice(KINDS), int(random.choice(DURATIONS) * world.bounds.lease)
+            kind, duration = random.choice(KINDS), int(random.choice(FAULT_DURATIONS) * world.bounds.lease)
             self.injected.append(f"{world.at / 10_000:.2f} {kind} {name} for {duration / 10_000:.2f}")
             self.inject(kind, name, duration, usual_delay)
         self.settle(usual_delay)
 
     def draw_process(self, names: list[str]) -> str:
-        """Leaders and relays come more often than their number says."""
+        """Returns a random process; voters, leader and relays are drawn more often than their share."""
         world, random = self.world, self.random
         name = random.choice(names)
         if random.random() < 0.5:
@@ -78,8 +80,8 @@
             return random.choice([machine.name for machine in world.machines.values()])
         return name
 
-    def settle(self, usual_delay: Delay) -> None:
-        """All faults end. Raises Broken where all is not well soon after."""
+    def settle(self, usual_delay: DelayRange) -> None:
+        """Ends all faults. Raises Broken if the world does not recover soon."""
         world = self.world
         world.delay = usual_delay
         world.mend()
@@ -92,7 +94,7 @@
         world.verify_settled()
 
     def call(self) -> None:
-        """An operator's, at any machine: first the services, then changes of some routes and a tenant."""
+        """Makes an operator call at a random machine: first services, then route and tenant changes."""
         world, random = self.world, self.random
         self.last_call += 1
         at = random.choice([machine.name for machine in world.machines.values()])
@@ -105,13 +107,13 @@
         world.operator_call(at, self.last_call, entries)
 
     def draw_route(self) -> Entry:
-        """In any service, or taken out."""
+        """Returns a random change of a route: set in some service, or removed."""
         random = self.random
         name, service = f"x{random.randrange(ROUTES)}", random.choice(self.world.services)
         return route(name, service, random.randrange(9), random.random() < 0.7)
 
-    def inject(self, kind: str, name: str, duration: int, usual_delay: Delay) -> None:
-        """A fault of one of KINDS at that process, or where it is."""
+    def inject(self, kind: str, name: str, duration: int, usual_delay: DelayRange) -> None:
+        """Injects a fault of one of KINDS at a process or, for some kinds, at a region or on all links."""
         world, process = self.world, self.world.by_name[name]
         match kind:
             case "freeze" if process.alive:
@@ -130,17 +132,17 @@
                 world.delay = self.random.choice((usual_delay, (2, lease // 4), (2, lease)))
             case "zone":
                 self.restart_region(duration)
-            case _ if kind in STOPS:
+            case _ if kind in RESTARTS:
                 self.stop(kind, process, duration)
 
     def break_connections(self, process: SimulatedProcess) -> None:
-        """All of that process."""
+        """Breaks all connections of a process."""
         for connection in list(self.world.connections):
             if process in connection.ends:
                 connection.break_off()
 
     def restart_region(self, duration: int) -> None:
-        """All nodes of a region end at once, and come back at once, some with their files."""
+        """Kills all nodes of a region at once and restarts them together, some without their files."""
         world, region = self.world, self.random.choice(self.world.regions)
         for node in world.nodes.values():
             if node.region == region:
@@ -149,42 +151,42 @@
                 world.later(duration, (self.restart, node.name, node.incarnation, keeps))
 
     def stop(self, kind: str, process: SimulatedProcess, duration: int) -> None:
-        """It ends, comes back later, and may have lost its file, or have a torn or an earlier one."""
+        """Kills a process and restarts it later, possibly with its file lost, corrupted or reverted."""
         world, name = self.world, process.name
-        keeps = kind != "lose" or not self.may_lose(name)
+        keeps = kind != "lose" or not self.may_lose_file(name)
         if isinstance(process, Node) and process.alive:
             process.save()
         world.kill(name, silent=kind == "die")
-        if kind in ("torn", "reverted") and process.files and self.may_lose(name):
-            (self.tear if kind == "torn" else self.revert)(process)
+        if kind in ("torn", "reverted") and process.files and self.may_lose_file(name):
+            (self.corrupt if kind == "torn" else self.revert)(process)
         world.later(duration, (self.restart, name, process.incarnation, keeps))
 
-    def tear(self, process: SimulatedProcess) -> None:
-        """Its file ends early, or has another byte."""
+    def corrupt(self, process: SimulatedProcess) -> None:
+        """Truncates the file of a process, or changes one byte."""
         at, data = self.random.randrange(len(process.files[-1])), process.files[-1]
-        torn = self.random.random() < 0.5
-        process.files[-1] = data[:at] if torn else data[:at] + b"?" + data[at + 1 :]
+        truncated = self.random.random() < 0.5
+        process.files[-1] = data[:at] if truncated else data[:at] + b"?" + data[at + 1 :]
 
     def revert(self, process: SimulatedProcess) -> None:
-        """Its file is an earlier one."""
+        """Replaces the file of a process by an earlier one."""
         process.files = process.files[: self.random.randint(1, len(process.files))]
 
     def restart(self, name: str, incarnation: int, keeps: bool) -> None:
-        """Unless something else has."""
+        """Restarts a process, unless another fault has already done so."""
         process = self.world.by_name[name]
         if process.incarnation == incarnation and not process.alive:
             self.world.restart(name, keeps)
 
-    def may_lose(self, name: str) -> bool:
-        """Whether a minority at most is left without what is committed, in the register and in the stores."""
+    def may_lose_file(self, name: str) -> bool:
+        """Returns whether voters without all committed state stay a minority if this file is lost."""
         world = self.world
         if name not in world.voters:
             return True
-        without = [other for other in world.voters if other != name and not self.has_all(other)]
-        return len(without) + 1 <= (len(world.voters) - 1) // 2
+        incomplete = [other for other in world.voters if other != name and not self.has_all_committed(other)]
+        return len(incomplete) + 1 <= (len(world.voters) - 1) // 2
 
-    def has_all(self, name: str) -> bool:
-        """Whether a voter's store and replica have what is committed, or may be."""
+    def has_all_committed(self, name: str) -> bool:
+        """Returns whether a voter's replica and store have everything that is, or may be, committed."""
         replica, machine = self.world.replica_nodes[name].replica, self.world.by_name[name]
         stores = [other.store for other in self.world.machines.values()]
         latest = max(max(self.world.truth), *(store.pending_version for store in stores))
@@ -195,17 +197,17 @@
 def run_random_faults(
     seed: int, faults: int, gap: float = 0.0, make: dict[str, type] | None = None
 ) -> DistributionFaultInjector:
-    """One that has run. Raises Broken."""
+    """Runs random faults on a new world and returns the injector. Raises Broken."""
     world = Distributed(12, (3, 5)[seed % 2], 2, seed, SHORT_BOUNDS, REGISTER_BOUNDS, make=make)
     for number, node in enumerate(world.nodes.values()):
         node.looked_up = [f"t{number % TENANTS}", f"t{(number + 5) % TENANTS}"]
-    made = DistributionFaultInjector(world, faults, gap=gap)
-    made.run()
-    return made
+    injector = DistributionFaultInjector(world, faults, gap=gap)
+    injector.run()
+    return injector
 
 
 def main(first: int, last: int, faults: int = 25) -> int:
-    """Tries the seeds; 1 where one was broken."""
+    """Runs the seeds and prints a summary; returns 1 if a run raised Broken, else 0."""
     broken, versions = 0, 0
     for seed in range(first, last):
         try:
@@ -214,7 +216,9 @@
             broken += 1
             print(f"seed {seed}: {error}", flush=True)
     count = last - first
-    print(f"{count} storms of {faults} faults, {versions} versions in those that held, {broken} broken")
+    print(
+        f"{count} runs of {faults} faults: {versions} versions in the successful runs, {broken} runs failed"
+    )
     return 1 if broken else 0
 
 
--- a/basalthoist/emulator/network.py
+++ b/basalthoist/emulator/network.py
@@ -1,4 +1,4 @@
-"""Paths between locations: delay and jitter, and cuts that say nothing."""
+"""Network paths between locations: delay, jitter, and cuts that drop packets silently."""
 
 from random import Random
 
@@ -8,19 +8,19 @@
 class Paths:
     def __init__(self, network: Network, rng: Random) -> None:
         self.network, self.rng = network, rng
-        self.cut_off: dict[int, int] = {}  # locations by how many faults cut them off
+        self.cut_counts: dict[int, int] = {}  # the number of faults that currently cut off each location
 
     def cut(self, location: int) -> None:
-        self.cut_off[location] = self.cut_off.get(location, 0) + 1
+        self.cut_counts[location] = self.cut_counts.get(location, 0) + 1
 
-    def mend(self, location: int) -> None:
-        self.cut_off[location] = self.cut_off[location] - 1
+    def restore(self, location: int) -> None:
+        self.cut_counts[location] = self.cut_counts[location] - 1
 
-    def open(self, one: int, other: int) -> bool:
-        """Within a location nothing is cut; a location that is cut off reaches no other."""
-        return one == other or not (self.cut_off.get(one) or self.cut_off.get(other))
+    def is_open(self, source: int, target: int) -> bool:
+        """Returns whether packets pass. A cut affects paths to other locations, not within one."""
+        return source == target or not (self.cut_counts.get(source) or self.cut_counts.get(target))
 
-    def delay(self, one: int, other: int) -> float:
-        """One way, in tenths of a millisecond."""
-        mean = self.network.delay_ms if one == other else self.network.cross_ms
+    def delay(self, source: int, target: int) -> float:
+        """Returns a random one-way delay in tenths of a millisecond."""
+        mean = self.network.delay_ms if source == target else self.network.cross_ms
         return 10 * mean * (1 + self.network.jitter * (2 * self.rng.random() - 1))
--- a/basalthoist/emulator/ramp.py
+++ b/basalthoist/emulator/ramp.py
@@ -1,7 +1,8 @@
-"""How near to falling over a cold backend comes under the sum of all nodes, at every instant of its ramp.
+"""Measures how close the combined load of all nodes brings a warming backend to an overload crash.
 
-Times are whole tenths of a millisecond, work is counted in requests of mean work. N is what the settings
-allow within `overload_for` by the capacity of that moment; 2 root N + 2 more pass for rng.
+Times are whole tenths of a millisecond, work is counted in requests of mean work. N is the work that the
+settings allow within `overload_for` at the current capacity; 2 * sqrt(N) + 2 more is tolerated as random
+variation.
 """
 
 from collections import deque
@@ -19,86 +20,86 @@
 from .scenario import Backends, Discovery, Fault, Kind, Load, Node, Route, Scenario
 
 START_S = 6.0
-TOLD = 2 / 3  # of a fall's work, over which it counts
-LIST_UPDATES = (
-    "once",
-    "late",
-    "half",
-    "half_warm",
-)  # told at once; seconds late; half not at all, or as long warm
+MIN_INFORMED_SHARE = 2 / 3  # fraction of an overload's work from informed nodes above which it counts
+# How the nodes learn of the start: all at once; up to 4 s late; half of them never; half of them as if it
+# were warm already.
+LIST_UPDATES = ("once", "late", "half", "half_warm")
 LOAD_KNOWLEDGE = ("neither", "probes", "peers")
 
 
 class Arrival(NamedTuple):
     at: int
     work: float
-    told: bool  # its node had been told of the start
+    informed: bool  # its node already knew of the start
 
 
 class Worst(NamedTuple):
-    """The instant nearest to a fall."""
+    """The instant at which a backend was closest to an overload crash."""
 
     sent: float
     allowed: float  # N
-    at_s: float = 0.0  # since the start
+    at_s: float = 0.0  # seconds since the backend started
 
     @property
     def excess(self) -> float:
         return self.sent - self.allowed
 
     @property
-    def rng(self) -> float:
+    def tolerance(self) -> float:
         return 2 * sqrt(self.allowed) + 2
 
     @property
     def part(self) -> float:
-        """Of what it stands; it falls over 1."""
-        return self.sent / (self.allowed + self.rng)
+        """Returns the work as a fraction of the tolerated work; above 1 the backend crashes."""
+        return self.sent / (self.allowed + self.tolerance)
 
 
 def judge(
     arrivals: list[Arrival], started: int, terms: Backends, warm_rate: float, include_excused=False
 ) -> Worst:
-    """Judged at each arrival up to the ramp's end; `include_excused` counts what the page excuses as well."""
+    """Finds the worst instant among the arrivals of the warm-up.
+
+    An overload is excused if too little of its work came from informed nodes; `include_excused` includes it.
+    """
     window, ramp = int(terms.fall_s * SECOND), terms.warm_s * SECOND
     within: deque[Arrival] = deque()
-    sent = told = 0.0
-    least = terms.fall_multiple * terms.cold_from * warm_rate * terms.fall_s
-    worst = Worst(0.0, least)
-    for one in sorted(arrivals):
-        if one.at >= started + ramp:
+    sent = informed = 0.0
+    initial_allowed = terms.fall_multiple * terms.cold_from * warm_rate * terms.fall_s
+    worst = Worst(0.0, initial_allowed)
+    for arrival in sorted(arrivals):
+        if arrival.at >= started + ramp:
             break
-        within.append(one)
-        sent, told = sent + one.work, told + one.work * one.told
-        while within[0].at <= one.at - window:
+        within.append(arrival)
+        sent, informed = sent + arrival.work, informed + arrival.work * arrival.informed
+        while within[0].at <= arrival.at - window:
             old = within.popleft()
-            sent, told = sent - old.work, told - old.work * old.told
-        share = terms.cold_from + (1 - terms.cold_from) * (one.at - started) / ramp
-        here = Worst(sent, least / terms.cold_from * share, (one.at - started) / SECOND)
-        if here.part > worst.part and (include_excused or told > TOLD * sent):
-            worst = here
+            sent, informed = sent - old.work, informed - old.work * old.informed
+        capacity = terms.cold_from + (1 - terms.cold_from) * (arrival.at - started) / ramp
+        current = Worst(sent, initial_allowed / terms.cold_from * capacity, (arrival.at - started) / SECOND)
+        if current.part > worst.part and (include_excused or informed > MIN_INFORMED_SHARE * sent):
+            worst = current
     return worst
 
 
 class Case(msgspec.Struct, frozen=True):
-    """A cold start in an emulated fleet."""
+    """A cold start in an emulated fleet. `lists`: see LIST_UPDATES; `knowledge`: see LOAD_KNOWLEDGE."""
 
     nodes: int = 30
     lists: str = "once"
     knowledge: str = "neither"
-    cold: int = 1  # of eight backends
+    cold: int = 1  # how many of eight backends start cold
     uneven: bool = False  # every fifth node gets five times what the others get
     slots: int = 2
     service_ms: float = 30.0
-    out: float = 0.0  # part of the others that stand still while the burst lasts
-    load: float = 0.7  # of what all can do when warm
+    out: float = 0.0  # fraction of the other backends that freeze during the burst
+    load: float = 0.7  # fraction of the capacity of all backends when warm
     burst: float = 1.5
     burst_s: float = 3.0
     multiple: float = 3.0
     cold_from: float = 0.25
     warm_s: float = 6.0
-    small: float = 1.0  # speed of the cold ones, of the others' speed
-    errors: bool = False  # the cold ones fail all they get, at once
+    small: float = 1.0  # speed of the cold backends relative to the others
+    errors: bool = False  # the cold backends fail all requests immediately
 
     def scenario(self, seed: int) -> Scenario:
         at_s = START_S + self.warm_s * 2 / 3 * Random(seed).random()
@@ -117,12 +118,12 @@
         )  # fmt: skip
 
 
-class Watched(Server):
-    """Keeps what comes to it."""
+class RecordingServer(Server):
+    """A backend that records the requests that arrive after its start."""
 
-    def __init__(self, *what) -> None:
-        super().__init__(*what)
-        self.arrived: list[tuple[int, int, float]] = []  # time, exchange, work
+    def __init__(self, *arguments) -> None:
+        super().__init__(*arguments)
+        self.arrived: list[tuple[int, int, float]] = []  # time, request, work
 
     def offer(self, job: Job) -> None:
         if self.started is not None:
@@ -131,17 +132,17 @@
 
 
 class Ramp(Fleet):
-    """A fleet in which some backends start. They do not fall, so that all of the ramp is seen."""
+    """A fleet in which some backends start cold. They never crash, so that the whole warm-up is seen."""
 
-    make_server = Watched
+    make_server = RecordingServer
 
     def __init__(self, case: Case, seed: int, make_policy: MakePolicy = Balancer) -> None:
-        self.case, self.heard, self.cold = case, {}, []
+        self.case, self.start_known_at, self.cold = case, {}, []
         super().__init__(case.scenario(seed), make_policy)
         weights = [5 if case.uneven and i % 5 == 0 else 1 for i in range(case.nodes)]
         self.weights = weights
         self.events.after(START_S * SECOND, self.start_cold)
-        self.events.after(self.scenario.faults[0].at_s * SECOND, self.hang)
+        self.events.after(self.scenario.faults[0].at_s * SECOND, self.freeze_others)
 
     def kind_no(self, number: int) -> int:
         return 0
@@ -155,34 +156,40 @@
     def start_cold(self) -> None:
         for _ in range(self.case.cold):
             server = self.add_server(0, len(self.scenario.backends.kinds) - 1)
-            server.good = 0.0 if self.case.errors else 1.0
+            server.success_rate = 0.0 if self.case.errors else 1.0
             server.start()
             self.cold.append(server)
-        self.tell([server.entry() for server in self.cold])
+        self.publish([server.entry() for server in self.cold])
 
-    def hang(self) -> None:
+    def freeze_others(self) -> None:
         others = [server for server in self.servers.values() if server.started is None]
         for server in others[: round(self.case.out * len(others))]:
             server.freeze()
             self.events.after(self.case.burst_s * SECOND, server.thaw)
 
-    def told(self, node, entries) -> None:
-        half = node.number % 2 and self.case.lists.startswith("half")
-        if half and self.case.lists == "half":
+    def deliver_update(self, node, entries) -> None:
+        uninformed = node.number % 2 and self.case.lists.startswith("half")
+        if uninformed and self.case.lists == "half":
             return
-        if half:
+        if uninformed:
             entries = [entry._replace(started=None) for entry in entries]
         else:
-            self.heard[node.number] = self.events.now
-        super().told(node, entries)
+            self.start_known_at[node.number] = self.events.now
+        super().deliver_update(node, entries)
 
     def worst(self, include_excused: bool = False) -> Worst:
-        """Of all that started cold."""
+        """Returns the worst instant of all backends that started cold, see `judge`."""
         terms = msgspec.structs.replace(self.scenario.backends, fall_multiple=self.case.multiple)
         mean, found = 10 * self.scenario.routes[0].service_ms, []
         for server in self.cold:
-            arrivals = [Arrival(at, work / mean, self.heard.get(self.ledger.records[ident].node, at) < at)
-                        for at, ident, work in server.arrived]  # fmt: skip
+            arrivals = [
+                Arrival(
+                    at,
+                    work / mean,
+                    self.start_known_at.get(self.rule_checker.records[ident].node, at) < at,
+                )
+                for at, ident, work in server.arrived
+            ]
             warm_rate = server.kind.slots * server.kind.speed * SECOND / mean
             found.append(judge(arrivals, server.started, terms, warm_rate, include_excused))
         return max(found, key=lambda worst: worst.part)
--- a/basalthoist/emulator/replicas.py
+++ b/basalthoist/emulator/replicas.py
@@ -1,7 +1,7 @@
-"""A fleet's replicas in simulated time: clocks that drift, messages lost, doubled and late, crashes.
+"""Simulates a fleet's replicas: drifting clocks, lost, duplicated and delayed messages, and crashes.
 
-Judges what docs/fleet.md promises from what happens, never from what a replica believes of others. True time
-is in whole tenths of a millisecond; each node's clock runs at its own rate and from its own start.
+Verifies the guarantees of docs/fleet.md from observed events, not from what replicas believe about others.
+True time is in whole tenths of a millisecond; each node's clock has its own rate and start.
 """
 
 from collections.abc import Sequence
@@ -17,18 +17,18 @@
 
 TICK = 200
 UNITS_PER_SECOND = 10_000
-BACKENDS = 12  # that each node knows
+BACKENDS_PER_NODE = 12
 MESSAGE = "message"
 
-Incarnations = tuple[int, int]  # of a message's sender and of its recipient
+Incarnations = tuple[int, int]  # of a message's sender, of its recipient
 
 
 class Broken(AssertionError):
-    """A promise of docs/fleet.md was not kept."""
+    """A guarantee of docs/fleet.md or docs/distribution.md was violated."""
 
 
 class ReplicaNode:
-    """A node: the host of its replica, with a clock. `replica` is None while the node is down."""
+    """Host of one replica, with a clock of its own. `replica` is None while the node is down."""
 
     def __init__(self, fleet: "Replicas", name: str, rate: float) -> None:
         self.fleet: Replicas = fleet
@@ -39,19 +39,19 @@
         self.replica: Replica | None = None
         self.frozen: bool = False
         self.hint: VerdictSet | None = None
-        self.inbox: list[tuple[str, Incarnations, Message]] = []  # while it is frozen
+        self.inbox: list[tuple[str, Incarnations, Message]] = []  # messages received while frozen
 
     def now(self) -> int:
-        """By its own clock."""
+        """Returns the time by the node's clock."""
         return self.start + int(self.fleet.at * self.rate)
 
     def begin(self, keeps: bool = True) -> None:
-        """Starts a new incarnation; with its file, or as one that has lost it."""
+        """Starts a new incarnation, with its hint file if `keeps` is set."""
         fleet = self.fleet
         self.incarnation += 1
         hint = self.hint if keeps else None
         rng = Lcg(fleet.rng.getrandbits(60))
-        self.known_incarnations: dict[str, int] = {}  # of others, as far as it has noticed
+        self.known_incarnations: dict[str, int] = {}  # of other nodes, as last seen by this one
         self.highest_applied: int = -1
         now = self.now()
         self.holder: QuotaLeaseHolder | None = None
@@ -61,15 +61,15 @@
             self, self.name, fleet.names, fleet.voters, fleet.bounds, rng, now, hint, self.holder
         )
 
-    # The replica's host.
+    # Methods of `ReplicaHost`.
 
     def send(self, name: str, message: Message) -> None:
         """Sends a message to a peer."""
-        self.fleet.sent(self, name, message)
+        self.fleet.transmit(self, name, message)
 
     def apply(self, verdicts: VerdictSet) -> None:
         """Applies these verdicts from now on."""
-        self.fleet.acted(self, verdicts)
+        self.fleet.on_applied(self, verdicts)
 
     def store(self, verdicts: VerdictSet) -> None:
         """Stores the set as a hint for a later incarnation."""
@@ -79,15 +79,15 @@
         """Answers an operator of this node."""
         self.fleet.answers[call_id] = text
         if text.startswith("SUCCESS version"):
-            self.fleet.promised(int(text.split()[2]))
+            self.fleet.on_acknowledged(int(text.split()[2]))
 
     def detected_outliers(self) -> list[str]:
-        """The outliers that this node has detected by itself."""
+        """Returns the outliers that this node has detected by itself."""
         return sorted(self.fleet.outliers.get(self.name, ()))
 
     def backend_count(self) -> int:
-        """How many backends this node knows."""
-        return BACKENDS
+        """Returns how many backends this node knows."""
+        return BACKENDS_PER_NODE
 
     def log(self, line: str) -> None:
         """Writes a log line."""
@@ -95,7 +95,7 @@
 
 
 class Replicas:
-    """A fleet of `count` nodes, the first `voters` of which vote. `make`: another class of replica."""
+    """A fleet of `count` nodes, the first `voters` of which vote. `make`: the class of replicas."""
 
     make_holder: type = QuotaLeaseHolder
 
@@ -123,13 +123,13 @@
         self.voters: list[str] = self.names[:voters]
         self.events: list[tuple[int, int, tuple]] = []
         self.seq: int = 0
-        self.cut: set[tuple[str, str]] = set()  # links that lose everything, from and to
+        self.cut: set[tuple[str, str]] = set()  # links that drop all messages: source, target
         self.lines: list[str] = []
         self.answers: dict[int, str] = {}
-        self.outliers: dict[str, set[str]] = {}  # what each node detects
-        self.contents: dict[int, bytes] = {}  # of each version that anybody has applied
-        self.first_applied: dict[int, int] = {}  # when
-        self.acknowledged: int = 0  # the highest version that an operator was told to be in force
+        self.outliers: dict[str, set[str]] = {}  # detected by each node
+        self.contents: dict[int, bytes] = {}  # of each version that a node has applied
+        self.first_applied: dict[int, int] = {}  # true time by version
+        self.acknowledged: int = 0  # the highest version reported to an operator as in force
         self.sent_messages: int = 0
         self.worst_age: int = 0
         rates = 1 - bounds.drift, 1.0, 1 + bounds.drift
@@ -141,13 +141,13 @@
             node.begin()
             self.later(self.rng.randrange(TICK), ("tick", node.name))
 
-    def later(self, after: int, what: tuple) -> None:
-        """Lets an event happen after so long a time."""
+    def later(self, after: int, event: tuple) -> None:
+        """Schedules an event after a delay in true time."""
         self.seq += 1
-        heappush(self.events, (self.at + after, self.seq, what))
+        heappush(self.events, (self.at + after, self.seq, event))
 
-    def sent(self, source: ReplicaNode, name: str, message: Message) -> None:
-        """Takes a message, which may be lost or doubled."""
+    def transmit(self, source: ReplicaNode, name: str, message: Message) -> None:
+        """Transmits a message, which may be lost or duplicated."""
         self.sent_messages += 1
         incarnations = source.incarnation, source.known_incarnations.get(name, 1)
         if (source.name, name) in self.cut or self.rng.random() < self.loss:
@@ -157,80 +157,81 @@
             self.later(self.rng.randint(*self.delay), event)
 
     def run(self, until: int) -> None:
-        """Lets happen what is due until then."""
+        """Processes all events until a true time."""
         while self.events and self.events[0][0] <= until:
-            self.at, _, what = heappop(self.events)
-            self.happen(what)
+            self.at, _, event = heappop(self.events)
+            self.process_event(event)
         self.at = max(self.at, until)
 
-    def happen(self, what: tuple) -> None:
-        """One event: a node's timer, a message, or a call of a function."""
-        if what[0] == "tick":
-            self.tick(what)
-        elif what[0] == MESSAGE:
-            _, source, name, incarnations, message = what
+    def process_event(self, event: tuple) -> None:
+        """Processes one event: a node's timer, a message, or a function call."""
+        if event[0] == "tick":
+            self.tick(event)
+        elif event[0] == MESSAGE:
+            _, source, name, incarnations, message = event
             self.arrive_message(self.replica_nodes[name], source, incarnations, message)
         else:
-            what[0](*what[1:])
+            event[0](*event[1:])
 
-    def tick(self, what: tuple) -> None:
-        """A node's timer."""
-        node = self.replica_nodes[what[1]]
-        self.later(int(TICK / node.rate), what)
+    def tick(self, event: tuple) -> None:
+        """Runs a node's periodic timer."""
+        node = self.replica_nodes[event[1]]
+        self.later(int(TICK / node.rate), event)
         if node.replica is not None and not node.frozen:
             node.replica.on_tick(node.now())
-            self.judge()
+            self.verify()
 
     def arrive_message(
         self, node: ReplicaNode, source: str, incarnations: Incarnations, message: Message
     ) -> None:
-        """A message is at its recipient, which reads it unless it is frozen."""
+        """Delivers a message, or queues it while the recipient is frozen."""
         if node.frozen:
             node.inbox.append((source, incarnations, message))
         else:
             self.deliver(node, source, incarnations, message)
 
     def deliver(self, node: ReplicaNode, source: str, incarnations: Incarnations, message: Message) -> None:
-        """The recipient reads a message."""
+        """Passes a message to the recipient's replica, if the incarnations of both ends are current."""
         known = node.known_incarnations.get(source, 1)
         if node.replica is None or incarnations[0] < known:
             return
         if incarnations[0] > known:
             node.known_incarnations[source] = incarnations[0]
             node.replica.on_incarnation(source)
-        if incarnations[1] != node.incarnation:  # the sender asks for the present one, and learns
-            return self.later(self.delay[1], (self.noticed, source, incarnations[0], node.name))
+        # A message to an earlier incarnation is dropped, and the sender learns the current one.
+        if incarnations[1] != node.incarnation:
+            return self.later(self.delay[1], (self.learn_incarnation, source, incarnations[0], node.name))
         node.replica.on_message(node.now(), source, message)
-        self.judge()
+        self.verify()
 
-    def noticed(self, name: str, incarnation: int, other: str) -> None:
-        """A node learns of another's present incarnation."""
+    def learn_incarnation(self, name: str, incarnation: int, other: str) -> None:
+        """Tells a node the current incarnation of another one."""
         node = self.replica_nodes[name]
-        present = self.replica_nodes[other].incarnation
-        if node.incarnation == incarnation and node.known_incarnations.get(other, 1) < present:
-            node.known_incarnations[other] = present
+        current = self.replica_nodes[other].incarnation
+        if node.incarnation == incarnation and node.known_incarnations.get(other, 1) < current:
+            node.known_incarnations[other] = current
             if node.replica is not None:
                 node.replica.on_incarnation(other)
 
     # Faults.
 
     def kill(self, name: str) -> None:
-        """Ends a node's incarnation."""
+        """Ends a node's current incarnation."""
         node = self.replica_nodes[name]
         node.replica, node.frozen = None, False
         node.inbox.clear()
 
     def restart(self, name: str, keeps: bool = True) -> None:
-        """Begins a node's next incarnation, with its file or without."""
+        """Starts a node's next incarnation, with its hint file if `keeps` is set."""
         self.kill(name)
         self.replica_nodes[name].begin(keeps)
 
     def freeze(self, name: str) -> None:
-        """Lets a node stand still."""
+        """Freezes a node: it processes neither timers nor messages."""
         self.replica_nodes[name].frozen = True
 
     def wake(self, name: str) -> None:
-        """Lets it go on: what came meanwhile is read before its timers are looked at."""
+        """Ends a freeze. Messages received meanwhile are processed before the timers."""
         node = self.replica_nodes[name]
         if not node.frozen:
             return
@@ -239,25 +240,25 @@
             self.deliver(node, source, incarnations, message)
 
     def split(self, *sides: list[str]) -> None:
-        """Cuts the links between these groups of nodes."""
-        apart = [(one, other) for one in sides for other in sides if one is not other]
-        self.cut = {(a, b) for one, other in apart for a in one for b in other}
+        """Cuts all links between different groups of nodes."""
+        pairs = [(one, other) for one in sides for other in sides if one is not other]
+        self.cut = {(a, b) for one, other in pairs for a in one for b in other}
 
     def heal(self) -> None:
         """Restores all links."""
         self.cut = set()
 
     def call(self, name: str, call_id: int, changes: list[Verdict]) -> None:
-        """An operator calls a node."""
+        """Makes an operator call at a node, unless it is down or frozen."""
         node = self.replica_nodes[name]
         if node.replica is not None and not node.frozen:
             node.replica.on_call(node.now(), call_id, changes)
-            self.judge()
+            self.verify()
 
-    # What is promised.
+    # Verification of the guarantees.
 
     def leader(self) -> str:
-        """A node that holds the lease and knows what is committed; empty where there is none."""
+        """Returns the name of a node that holds the lease and knows what is committed, or an empty string."""
         for node in self.replica_nodes.values():
             if node.replica is None or node.frozen:
                 continue
@@ -265,8 +266,8 @@
                 return node.name
         return ""
 
-    def acted(self, node: ReplicaNode, verdicts: VerdictSet) -> None:
-        """A node has applied a set: all apply the same ones, in the same order."""
+    def on_applied(self, node: ReplicaNode, verdicts: VerdictSet) -> None:
+        """Verifies that all nodes apply the same versions in the same order."""
         version = verdicts.version
         if self.contents.setdefault(version, verdicts.data) != verdicts.data:
             raise Broken(f"fork: {node.name} acts on another version {version}")
@@ -279,12 +280,12 @@
             self.first_applied[version] = self.at
         node.highest_applied = version
 
-    def promised(self, version: int) -> None:
-        """An operator was told that this version is in force."""
+    def on_acknowledged(self, version: int) -> None:
+        """Records that an operator call was answered with this version in force."""
         self.acknowledged = max(self.acknowledged, version)
 
-    def judge(self) -> None:
-        """Raises Broken where two lead, or a node may act on what it must not any more."""
+    def verify(self) -> None:
+        """Raises Broken if two nodes lead, or a node may act on an outdated view."""
         leading: list[str] = []
         for node in self.replica_nodes.values():
             if node.replica is None:
@@ -293,20 +294,20 @@
             if node.replica.leads(now):
                 leading.append(node.name)
             if self.bounds.strict and node.replica.may_forward_requests(now):
-                self.judge_view(node)
+                self.verify_view(node)
         if len(leading) > 1:
             raise Broken(f"{' and '.join(leading)} lead at once")
 
-    def judge_view(self, node: ReplicaNode) -> None:
-        """Raises Broken where what the node may act on was replaced too long ago, or must not be there."""
+    def verify_view(self, node: ReplicaNode) -> None:
+        """Raises Broken if the node may act on a view older than the acknowledged version or too stale."""
         version = node.replica.sets.applied.version
         if version < self.acknowledged:
             raise Broken(f"{node.name} may act on {version}, {self.acknowledged} was said to be in force")
-        replaced = self.first_applied.get(version + 1)
-        if replaced is None:
+        replaced_at = self.first_applied.get(version + 1)
+        if replaced_at is None:
             return
-        self.worst_age = max(self.worst_age, self.at - replaced)
-        longest = self.bounds.stale / (1 - self.bounds.drift) + 2
-        if self.at - replaced > longest:
-            age = (self.at - replaced) / UNITS_PER_SECOND
+        self.worst_age = max(self.worst_age, self.at - replaced_at)
+        max_age = self.bounds.stale / (1 - self.bounds.drift) + 2
+        if self.at - replaced_at > max_age:
+            age = (self.at - replaced_at) / UNITS_PER_SECOND
             raise Broken(f"{node.name} may act on {version}, replaced {age:.2f} s ago")
--- a/basalthoist/emulator/search.py
+++ b/basalthoist/emulator/search.py
@@ -1,4 +1,4 @@
-"""Looks for days that break a rule: faults combined at random from a seed, then shrunk to the least."""
+"""Searches for scenarios that break a rule: draws random faults from a seed, then shrinks each finding."""
 
 from collections.abc import Callable
 from random import Random
@@ -11,10 +11,10 @@
 KINDS = ("kill", "freeze", "cut", "slow", "errors", "drain", "replace", "surge", "stale", "kill_nodes")
 
 
-def draw(scenario: Scenario, rng: Random, most: int = 5) -> Scenario:
-    """The same fleet and load on another day: two to `most` faults that may overlap."""
+def draw(scenario: Scenario, rng: Random, max_faults: int = 5) -> Scenario:
+    """Returns the scenario with another seed and two to `max_faults` random faults, which may overlap."""
     faults = []
-    for _ in range(rng.randint(2, max(most, 2))):
+    for _ in range(rng.randint(2, max(max_faults, 2))):
         kind = rng.choice(KINDS)
         faults.append(Fault(
             kind=kind, at_s=round(rng.uniform(0.1, 0.7) * scenario.length_s, 1),
@@ -27,21 +27,21 @@
     return msgspec.structs.replace(scenario, faults=tuple(faults), seed=rng.getrandbits(31))
 
 
-def broken(scenario: Scenario, make_policy: Callable) -> frozenset[str]:
-    rules = Fleet(scenario, make_policy).run().ledger.verdict()
-    return frozenset(rule for rule, times in rules.items() if times)
+def broken_rules(scenario: Scenario, make_policy: Callable) -> frozenset[str]:
+    rules = Fleet(scenario, make_policy).run().rule_checker.violation_counts()
+    return frozenset(rule for rule, count in rules.items() if count)
 
 
 def shrink(scenario: Scenario, make_policy: Callable, rules: frozenset[str]) -> Scenario:
-    """Leaves out faults, then shortens what is left, for as long as one of the rules still breaks."""
+    """Removes faults, then shortens the remaining ones, as long as one of `rules` is still broken."""
 
-    def still(candidate: Scenario) -> bool:
-        return bool(broken(candidate, make_policy) & rules)
+    def still_breaks(candidate: Scenario) -> bool:
+        return bool(broken_rules(candidate, make_policy) & rules)
 
     at = 0
     while at < len(scenario.faults):
         fewer = msgspec.structs.replace(scenario, faults=scenario.faults[:at] + scenario.faults[at + 1 :])
-        if still(fewer):
+        if still_breaks(fewer):
             scenario = fewer
         else:
             at += 1
@@ -51,18 +51,18 @@
             shorter = msgspec.structs.replace(
                 scenario, faults=(*scenario.faults[:at], fault, *scenario.faults[at + 1 :]),
             )  # fmt: skip
-            if not still(shorter):
+            if not still_breaks(shorter):
                 break
             scenario = shorter
     return scenario
 
 
-def search(scenario: Scenario, make_policy: Callable, days: int, seed: int, said=lambda line: None):
-    """Yields each day found, shrunk, with the rules that it breaks."""
+def search(scenario: Scenario, make_policy: Callable, days: int, seed: int, report=lambda line: None):
+    """Yields each scenario found, shrunk, with the rules that the original broke."""
     rng = Random(seed)
     for number in range(days):
-        day = draw(scenario, rng)
-        rules = broken(day, make_policy)
-        said(f"day {number}: {', '.join(sorted(rules)) or 'rules kept'}")
+        candidate = draw(scenario, rng)
+        rules = broken_rules(candidate, make_policy)
+        report(f"day {number}: {', '.join(sorted(rules)) or 'rules kept'}")
         if rules:
-            yield shrink(day, make_policy, rules), rules
+            yield shrink(candidate, make_policy, rules), rules
--- a/basalthoist/experiments/__init__.py
+++ b/basalthoist/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Scenarios times policies times seeds, in parallel; raw results, then tables and charts from them."""
+"""Runs scenarios with each policy and seed, stores raw results, and makes reports from them."""
--- a/basalthoist/experiments/charts.py
+++ b/basalthoist/experiments/charts.py
@@ -1,4 +1,4 @@
-"""One way to draw a chart, without a screen."""
+"""Draws charts into files; needs no display."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -6,8 +6,8 @@
 
 
 @contextmanager
-def chart(folder: Path, name: str, endings: tuple[str, ...] = ("svg",)) -> Iterator:
-    """The axes to draw on; kept as `name` with each ending once that is done. Raises OSError."""
+def chart(folder: Path, name: str, extensions: tuple[str, ...] = ("svg",)) -> Iterator:
+    """Yields axes to draw on, then saves the chart as `name` with each extension. Raises OSError."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -18,7 +18,7 @@
     axes.grid(alpha=0.3)
     axes.legend(fontsize=8)
     figure.tight_layout()
-    for ending in endings:
-        metadata = {"Date": None} if ending == "svg" else None
-        figure.savefig(folder / f"{name}.{ending}", dpi=110, metadata=metadata)
+    for extension in extensions:
+        metadata = {"Date": None} if extension == "svg" else None
+        figure.savefig(folder / f"{name}.{extension}", dpi=110, metadata=metadata)
     pyplot.close(figure)
--- a/basalthoist/experiments/plan.py
+++ b/basalthoist/experiments/plan.py
@@ -1,4 +1,4 @@
-"""What an experiment asks, said beforehand in a TOML file, and its runs one by one."""
+"""Plans of experiments: a TOML file with the question, and the list of runs that answers it."""
 
 from pathlib import Path
 from typing import Annotated
@@ -10,7 +10,7 @@
 
 
 class Sweep(msgspec.Struct, forbid_unknown_fields=True):
-    """One key of the scenario takes several values in turn, such as `load.rate`."""
+    """A key of the scenario, such as `load.rate`, and the values that it takes in turn."""
 
     key: str
     values: Annotated[list[float | int | str | bool], msgspec.Meta(min_length=1)]
@@ -38,17 +38,17 @@
 
 
 def read(path: str | Path) -> tuple[Plan, bytes]:
-    """The plan, and the text of the scenario that it names (a path from the plan's own folder)."""
+    """Returns the plan and the text of its scenario (path relative to the plan). Raises ScenarioError."""
     path = Path(path)
     plan = decode(text_of(path), str(path), Plan)
     plan.name = plan.name or path.stem
     for policy in plan.policies:
         if policy not in POLICIES:
             raise ScenarioError(f"{path}: policies: expected some of {', '.join(POLICIES)}, got {policy!r}")
-    there = path.parent / plan.scenario
-    text = text_of(there)
+    scenario_path = path.parent / plan.scenario
+    text = text_of(scenario_path)
     for value in plan.sweep.values if plan.sweep else [None]:
-        scenario_for(plan, text, value, str(there))  # each must be a scenario before any is run
+        scenario_for(plan, text, value, str(scenario_path))  # fails on an invalid value before any run starts
     return plan, text
 
 
@@ -58,18 +58,24 @@
         return scenario
     nested = msgspec.to_builtins(scenario)
     *path, last = plan.sweep.key.split(".")
-    at = nested
+    parent = nested
     for part in path:
-        at = at[int(part)] if isinstance(at, list | tuple) else at.get(part) if isinstance(at, dict) else None
-        if at is None:
+        parent = (
+            parent[int(part)]
+            if isinstance(parent, list | tuple)
+            else parent.get(part)
+            if isinstance(parent, dict)
+            else None
+        )
+        if parent is None:
             raise ScenarioError(f"sweep.key: {plan.sweep.key}: no such key")
-    if not isinstance(at, dict) or last not in at:
+    if not isinstance(parent, dict) or last not in parent:
         raise ScenarioError(f"sweep.key: {plan.sweep.key}: no such key")
-    at[last] = value
+    parent[last] = value
     try:
         return msgspec.convert(nested, Scenario)
-    except msgspec.ValidationError as wrong:
-        raise ScenarioError(f"sweep.values: {value}: {wrong}") from None
+    except msgspec.ValidationError as error:
+        raise ScenarioError(f"sweep.values: {value}: {error}") from None
 
 
 def runs(plan: Plan) -> list[Run]:
--- a/basalthoist/experiments/running.py
+++ b/basalthoist/experiments/running.py
@@ -1,4 +1,4 @@
-"""Carries the runs of a plan out in processes of their own and keeps what each gave."""
+"""Executes the runs of a plan in a process pool and stores the result of each run."""
 
 import os
 import platform
@@ -16,14 +16,16 @@
 
 
 class RunError(Exception):
-    """Why a run has no result. There is never a figure in its place."""
+    """A run has no result, for the reason given. No figure is reported in its place."""
 
 
 def revision() -> str:
     try:
         command = ["git", "describe", "--always", "--dirty"]
-        said = subprocess.run(command, capture_output=True, text=True, timeout=5, cwd=Path(__file__).parent)
-        return said.stdout.strip() or "unknown"
+        finished = subprocess.run(
+            command, capture_output=True, text=True, timeout=5, cwd=Path(__file__).parent
+        )
+        return finished.stdout.strip() or "unknown"
     except (OSError, subprocess.SubprocessError):
         return "unknown"
 
@@ -44,15 +46,15 @@
 
 
 def keep(folder: Path, run: Run, result: dict) -> None:
-    """Whole or not at all: a run that was interrupted while it was written has no result."""
+    """Stores the result atomically, so that an interrupted write leaves no partial result."""
     path = folder / f"{run.name()}.json"
     unfinished = path.with_suffix(".part")
     unfinished.write_bytes(msgspec.json.format(msgspec.json.encode(result), indent=1))
     unfinished.replace(path)
 
 
-def carry_out_all(plan: Plan, text: bytes, folder: Path, processes: int | None = None, said=print) -> int:
-    """Goes on from what is already there. Returns how many runs were made now."""
+def carry_out_all(plan: Plan, text: bytes, folder: Path, processes: int | None = None, log=print) -> int:
+    """Executes the runs that have no stored result yet and returns their number. Raises RunError."""
     raw = folder / "raw"
     try:
         raw.mkdir(parents=True, exist_ok=True)
@@ -61,38 +63,40 @@
         if (folder / "about.json").exists():
             before = msgspec.json.decode((folder / "about.json").read_bytes())
             if (before["plan"], before["scenario"]) != (about["plan"], about["scenario"]):
-                raise RunError(f"{folder}: holds the results of another plan")
+                raise RunError(f"{folder}: holds the results of another plan or scenario")
             if before["revision"] != about["revision"]:
                 raise RunError(
-                    f"{folder}: begun with revision {before['revision']}, this is {about['revision']}"
+                    f"{folder}: started with revision {before['revision']}, this is {about['revision']}"
                 )
         else:
             (folder / "about.json").write_bytes(msgspec.json.format(msgspec.json.encode(about), indent=1))
-        todo = [run for run in runs(plan) if not (raw / f"{run.name()}.json").exists()]
+        to_run = [run for run in runs(plan) if not (raw / f"{run.name()}.json").exists()]
         with ProcessPoolExecutor(processes or max((os.cpu_count() or 2) - 1, 1)) as pool:
-            going = {pool.submit(carry_out, plan, text, run): run for run in todo}
-            for number, done in enumerate(as_completed(going), 1):
-                run = going[done]
+            futures = {pool.submit(carry_out, plan, text, run): run for run in to_run}
+            for number, future in enumerate(as_completed(futures), 1):
+                run = futures[future]
                 try:
-                    result = done.result()
-                except Exception as wrong:
+                    result = future.result()
+                except Exception as error:
                     pool.shutdown(cancel_futures=True, wait=False)
-                    raise RunError(f"{run.name()}: {type(wrong).__name__}: {wrong}") from wrong
+                    raise RunError(f"{run.name()}: {type(error).__name__}: {error}") from error
                 keep(raw, run, result)
-                said(f"{number}/{len(todo)} {run.name()}: {plan.figure} {result['figures'][plan.figure]:.4f}")
-    except OSError as wrong:
-        raise RunError(f"{folder}: {wrong.strerror or wrong}") from wrong
-    return len(todo)
+                log(
+                    f"{number}/{len(to_run)} {run.name()}: {plan.figure} {result['figures'][plan.figure]:.4f}"
+                )
+    except OSError as error:
+        raise RunError(f"{folder}: {error.strerror or error}") from error
+    return len(to_run)
 
 
 def results_of(folder: Path) -> tuple[dict, list[dict]]:
     try:
         about = msgspec.json.decode((folder / "about.json").read_bytes())
-        found = [msgspec.json.decode(path.read_bytes()) for path in sorted((folder / "raw").glob("*.json"))]
-    except OSError as wrong:
-        raise RunError(f"{folder}: {wrong.strerror}: {wrong.filename}") from None
-    except msgspec.DecodeError as wrong:
-        raise RunError(f"{folder}: a result is not JSON: {wrong}") from None
-    if not found:
+        results = [msgspec.json.decode(path.read_bytes()) for path in sorted((folder / "raw").glob("*.json"))]
+    except OSError as error:
+        raise RunError(f"{folder}: {error.strerror}: {error.filename}") from None
+    except msgspec.DecodeError as error:
+        raise RunError(f"{folder}: a result is not JSON: {error}") from None
+    if not results:
         raise RunError(f"{folder}: no finished run")
-    return about, found
+    return about, results
--- a/basalthoist/experiments/scale/agent.py
+++ b/basalthoist/experiments/scale/agent.py
@@ -1,9 +1,9 @@
-"""Discovery's agent as a stand-in: lists, watches, changes told down them; each byte is counted."""
+"""A stand-in for the discovery agent: serves lists, sends changes to watches, counts the bytes."""
 
 import asyncio
 import json
 
-HEART_S = 2.0
+HEARTBEAT_INTERVAL_S = 2.0
 
 
 def change_text(revision: int, members: list[dict]) -> bytes:
@@ -15,7 +15,7 @@
 
 
 class Agent:
-    """One for all nodes of a run; what a node's own agent would say to it is what it says on one watch."""
+    """Serves all nodes of a run. On each watch it sends what the agent of that single node would send."""
 
     def __init__(self, members: list[dict]) -> None:
         self.members, self.revision = members, 1
@@ -25,45 +25,45 @@
 
     async def open(self) -> str:
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(lambda: Line(self), "127.0.0.1", 0, backlog=4096)
-        self.beating = loop.create_task(self.beat())
+        self.server = await loop.create_server(lambda: AgentConnection(self), "127.0.0.1", 0, backlog=4096)
+        self.heartbeat_task = loop.create_task(self.send_heartbeats())
         return f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
 
-    async def beat(self) -> None:
+    async def send_heartbeats(self) -> None:
         while True:
-            await asyncio.sleep(HEART_S)
-            self.tell(b"\n")
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
+            self.broadcast(b"\n")
 
-    def tell(self, text: bytes) -> None:
+    def broadcast(self, text: bytes) -> None:
         data = b"%x\r\n%b\r\n" % (len(text), text)
-        for line in list(self.watches):
-            if not line.is_closing():
-                line.write(data)
+        for watch in list(self.watches):
+            if not watch.is_closing():
+                watch.write(data)
                 self.watch_bytes += len(data)
                 self.messages += 1
 
     def change(self, members: list[dict]) -> int:
-        """One message on each watch; its bytes."""
+        """Sends changed members to each watch and returns the size of the message in bytes."""
         self.revision += 1
         text = change_text(self.revision, members) + b"\n"
-        self.tell(text)
+        self.broadcast(text)
         return len(text)
 
     def close(self) -> None:
-        self.beating.cancel()
+        self.heartbeat_task.cancel()
         self.server.close()
-        for line in list(self.watches):
-            line.abort()
+        for watch in list(self.watches):
+            watch.abort()
 
 
-class Line(asyncio.Protocol):
+class AgentConnection(asyncio.Protocol):
     def __init__(self, agent: Agent) -> None:
         self.agent, self.transport = agent, None
 
     def connection_made(self, transport) -> None:
         self.transport = transport
 
-    def connection_lost(self, wrong: Exception | None) -> None:
+    def connection_lost(self, error: Exception | None) -> None:
         self.agent.watches.discard(self.transport)
 
     def data_received(self, data: bytes) -> None:
--- a/basalthoist/experiments/scale/bench.py
+++ b/basalthoist/experiments/scale/bench.py
@@ -1,4 +1,4 @@
-"""Starts workers and real nodes for a run, asks them, and ends all that it has started."""
+"""Starts workers and real nodes for a run, sends them orders, and ends every process that it started."""
 
 import asyncio
 import contextlib
@@ -15,30 +15,30 @@
 from .agent import Agent
 from .lateness import Lateness
 
-PATIENCE_S = 60.0  # for an answer of a worker that begins hundreds of nodes
+WORKER_TIMEOUT_S = 60.0  # for the reply of a worker, which may start hundreds of nodes first
 
 
 class RunFailed(Exception):
-    """Why a run gave no result."""
+    """A run gave no result, for the reason given."""
 
 
 class Worker:
-    """A process with hollow nodes."""
+    """A process with hollow nodes; takes one order at a time."""
 
     def __init__(self, process, log: Path) -> None:
-        self.process, self.log, self.turn = process, log, asyncio.Lock()
+        self.process, self.log, self.lock = process, log, asyncio.Lock()
 
     async def ask(self, do: str, **more) -> dict:
-        async with self.turn:
+        async with self.lock:
             self.process.stdin.write(json.dumps({"do": do} | more).encode() + b"\n")
             try:
-                line = await asyncio.wait_for(self.process.stdout.readline(), PATIENCE_S)
+                line = await asyncio.wait_for(self.process.stdout.readline(), WORKER_TIMEOUT_S)
             except TimeoutError:
-                raise RunFailed(f"no answer to {do!r} in {PATIENCE_S:.0f} s") from None
-        said = json.loads(line) if line else {"wrong": self.log.read_text(errors="replace")[-300:]}
-        if "wrong" in said:
-            raise RunFailed(f"{do!r}: {said['wrong']}")
-        return said
+                raise RunFailed(f"worker did not answer {do!r} within {WORKER_TIMEOUT_S:.0f} s") from None
+        reply = json.loads(line) if line else {"wrong": self.log.read_text(errors="replace")[-300:]}
+        if "wrong" in reply:
+            raise RunFailed(f"worker failed at {do!r}: {reply['wrong']}")
+        return reply
 
     async def end(self) -> None:
         if self.process.returncode is None:
@@ -50,12 +50,12 @@
                 await self.process.wait()
 
 
-class Real:
-    """A node's own process."""
+class RealNode:
+    """A real node in a process of its own."""
 
-    def __init__(self, name: str, made: dict, folder: Path) -> None:
+    def __init__(self, name: str, document: dict, folder: Path) -> None:
         self.name, self.folder = name, folder
-        self.listen, self.admin = address_of(made["listen"]), address_of(made["admin"])
+        self.listen, self.admin = address_of(document["listen"]), address_of(document["admin"])
         self.log, self.counts = folder / "log", folder / "counts.json"
         self.process, self.began = None, 0.0
 
@@ -79,23 +79,23 @@
             )
 
     async def ready(self) -> float:
-        """Seconds from the start of the process until it says that it is."""
+        """Waits until the node is ready; returns the seconds since its start. Raises RunFailed."""
         try:
             await ready(self.listen, self.process, self.log)
-        except RuntimeError as wrong:
-            raise RunFailed(str(wrong)) from None
+        except RuntimeError as error:
+            raise RunFailed(str(error)) from None
         return time.monotonic() - self.began
 
     def read(self) -> dict:
-        but = self.counted()["thread"] if self.counts.exists() else 0
-        return {"at": time.monotonic(), "cpu_s": counting.cpu_s(self.process.pid, but),
+        counting_thread = self.read_counts()["thread"] if self.counts.exists() else 0
+        return {"at": time.monotonic(), "cpu_s": counting.cpu_s(self.process.pid, counting_thread),
                 "memory_mb": counting.memory_mb(self.process.pid)}  # fmt: skip
 
-    def counted(self) -> dict:
+    def read_counts(self) -> dict:
         return json.loads(self.counts.read_text())
 
-    async def call(self, line: str, patience_s: float = 15.0) -> str:
-        async def asked() -> str:
+    async def call(self, line: str, timeout_s: float = 15.0) -> str:
+        async def send_call() -> str:
             reader, writer = await asyncio.open_connection(*self.admin, limit=1 << 24)
             try:
                 writer.write(line.encode() + b"\n")
@@ -104,13 +104,13 @@
                 writer.close()
 
         try:
-            return await asyncio.wait_for(asked(), patience_s)
+            return await asyncio.wait_for(send_call(), timeout_s)
         except (OSError, TimeoutError):
             return "no answer"
 
 
 class Bench:
-    """`async with Bench(folder) as bench`: whatever happens within, all processes are ended after it."""
+    """Used as `async with Bench(folder) as bench`: on exit all processes are ended, also after an error."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.workers, self.reals, self.agents = folder, [], [], []
@@ -121,14 +121,14 @@
         self.lateness = Lateness(asyncio.get_running_loop())
         return self
 
-    async def __aexit__(self, *wrong) -> None:
+    async def __aexit__(self, *error) -> None:
         for worker in self.workers:
             with contextlib.suppress(ProcessLookupError):
                 await worker.end()
         started = [real.process for real in self.reals if real.process is not None]
         for process in started:
             if process.returncode is None:
-                process.kill()  # they are not there to part with clients
+                process.kill()  # no clients are connected, so no graceful shutdown is needed
         await end_nodes(*started)
         for agent in self.agents:
             agent.close()
@@ -150,12 +150,12 @@
         self.workers.append(worker)
         return worker
 
-    def real(self, made: dict) -> Real:
-        """Puts its file down; it is started by the one who asks."""
-        path = files.put(self.folder, made)
-        real = Real(made["name"], made, path.parent)
+    def real(self, document: dict) -> RealNode:
+        """Writes the file of a real node. The caller starts the node."""
+        path = files.write_document(self.folder, document)
+        real = RealNode(document["name"], document, path.parent)
         self.reals.append(real)
         return real
 
-    async def everywhere(self, do: str, **more) -> list[dict]:
+    async def ask_all(self, do: str, **more) -> list[dict]:
         return await asyncio.gather(*(worker.ask(do, **more) for worker in self.workers))
--- a/basalthoist/experiments/scale/catalogue.py
+++ b/basalthoist/experiments/scale/catalogue.py
@@ -1,4 +1,4 @@
-"""Layer: what stands in a node's file. One real node a point, and the same file at a hollow one beside it."""
+"""Layer: the size of a node's file. Each point runs a real and a hollow node with the same catalogue."""
 
 import asyncio
 import json
@@ -8,14 +8,14 @@
 
 from . import files, sizes
 from .bench import Bench, RunFailed
-from .lateness import void_of
+from .lateness import void_reason
 from .rows import Row
 from .sizes import Ask, part_of
 
 NAME = "catalogue"
 ABOUT = "a node's file, start, memory and share of a core by tenants, routes and backends"
 FEW = files.Catalogue(routes=10, tenants=20, backends=30)
-WINDOW_S, SETTLE_S, TIMES = 6.0, 2.5, 2
+WINDOW_S, SETTLE_S, REPETITIONS = 6.0, 2.5, 2
 
 
 def points(share: float) -> list[tuple[str, int, files.Catalogue]]:
@@ -29,45 +29,52 @@
     ]
 
 
-def bytes_of(told: files.Catalogue) -> int:
-    return len(json.dumps(files.document("n00000", told, "127.0.0.1:9", 1)))
+def file_bytes(catalogue: files.Catalogue) -> int:
+    return len(json.dumps(files.document("n00000", catalogue, "127.0.0.1:9", 1)))
 
 
 class Point:
-    """A node's own process with a file of this size, and a hollow one with the same beside it."""
+    """A real node with a file of this size, and a hollow node with the same catalogue beside it."""
 
-    def __init__(self, bench: Bench, of: str, x: int, told: files.Catalogue) -> None:
-        self.bench, self.of, self.x, self.told = bench, of, x, told
+    def __init__(self, bench: Bench, of: str, x: int, catalogue: files.Catalogue) -> None:
+        self.bench, self.of, self.x, self.catalogue = bench, of, x, catalogue
 
     async def start(self) -> None:
-        """One after the other: a start is measured alone."""
-        bench, told, number = self.bench, self.told, len(self.bench.reals)
-        members = [files.member(n) for n in range(told.backends)]
+        """Starts both nodes. Callers start points one at a time, so that each start is measured alone."""
+        bench, catalogue, number = self.bench, self.catalogue, len(self.bench.reals)
+        members = [files.member(n) for n in range(catalogue.backends)]
         _, discovery = await bench.agent(members)
-        made = files.document(f"n{number:05}", told, discovery, sizes.NODES, 0, members)
-        twin = files.document(f"h{number:05}", told, discovery, sizes.NODES, 1, members)
-        self.real, twin_path = bench.real(made), files.put(bench.folder, twin)
+        real_document = files.document(f"n{number:05}", catalogue, discovery, sizes.NODES, 0, members)
+        hollow_document = files.document(f"h{number:05}", catalogue, discovery, sizes.NODES, 1, members)
+        self.real, hollow_path = (
+            bench.real(real_document),
+            files.write_document(bench.folder, hollow_document),
+        )
         self.worker = await bench.worker()
-        self.empty = await self.worker.ask("begin")
+        self.idle_worker = await self.worker.ask("begin")
         await asyncio.sleep(1.0)
-        self.empty_rate = rate(self.empty, await self.worker.ask("read"))
+        self.idle_worker_rate = rate(self.idle_worker, await self.worker.ask("read"))
         await self.real.start("basalthoist")
         self.start_s = await self.real.ready()
-        await self.worker.ask("start", nodes=[{"file": str(twin_path)}])
+        await self.worker.ask("start", nodes=[{"file": str(hollow_path)}])
 
     async def begin(self) -> None:
-        self.hollow, self.before = await self.worker.ask("begin"), self.real.read()
+        self.hollow_before, self.real_before = await self.worker.ask("begin"), self.real.read()
 
     async def end(self, late: float) -> list[Row]:
         after, hollow = self.real.read(), await self.worker.ask("read")
-        void = void_of(late)
+        void = void_reason(late)
         found = {
             "file": ((self.real.folder / "node.json").stat().st_size, "B", True),
             "start to ready": (self.start_s, "s", False),
             "memory of a node": (after["memory_mb"], "MB", False),
-            "part of a core of a node that nobody asks": (rate(self.before, after), "core", False),
-            "memory of a hollow node": (hollow["memory_mb"] - self.empty["memory_mb"], "MB", False),
-            "part of a core of a hollow node": (rate(self.hollow, hollow) - self.empty_rate, "core", False),
+            "part of a core of a node that nobody asks": (rate(self.real_before, after), "core", False),
+            "memory of a hollow node": (hollow["memory_mb"] - self.idle_worker["memory_mb"], "MB", False),
+            "part of a core of a hollow node": (
+                rate(self.hollow_before, hollow) - self.idle_worker_rate,
+                "core",
+                False,
+            ),
         }
         return [Row(NAME, f"{figure}, by {self.of}", self.x, value, self.of, unit, counted,
                     "" if counted else void) for figure, (value, unit, counted) in found.items()]  # fmt: skip
@@ -77,14 +84,15 @@
     return (new["cpu_s"] - old["cpu_s"]) / (new["at"] - old["at"])
 
 
-async def together(bench: Bench, found: list[tuple]) -> list[Row]:
-    points = [Point(bench, *one) for one in found]
+async def measure_together(bench: Bench, arguments: list[tuple]) -> list[Row]:
+    points = [Point(bench, *one) for one in arguments]
     for point in points:
         await point.start()
     await asyncio.sleep(SETTLE_S)
     for point in points:
         await point.begin()
-    # The bench's own lateness, not a worker's: that one stands still by what is measured, a second's round.
+    # The lateness of the bench decides, not that of a worker: the once-a-second tick under measurement blocks
+    # the worker's loop.
     bench.lateness.begin()
     await asyncio.sleep(WINDOW_S)
     late = bench.lateness.p99_ms()
@@ -92,13 +100,13 @@
 
 
 async def measure(ask: Ask, folder: Path, say) -> AsyncIterator[list[Row]]:
-    for turn in range(1 if ask.quick else TIMES):
+    for turn in range(1 if ask.quick else REPETITIONS):
         for share in ask.shares:
             began = time.monotonic()
             try:
                 async with Bench(folder / f"{turn}-{share:g}") as bench:
-                    found = await together(bench, points(share))
-            except RunFailed as wrong:
-                found = [Row(NAME, "run", share, 0.0, "hundredths", "", void=str(wrong))]
+                    found = await measure_together(bench, points(share))
+            except RunFailed as error:
+                found = [Row(NAME, "run", share, 0.0, "hundredths", "", void=str(error))]
             yield found
             say(f"{share:g}% of the catalogue: {time.monotonic() - began:.0f} s")
--- a/basalthoist/experiments/scale/files.py
+++ b/basalthoist/experiments/scale/files.py
@@ -1,4 +1,4 @@
-"""The files that a node of a given size is started with. Names have one width, so bytes grow in a line."""
+"""Makes the files that a node starts with. All names have the same width, so sizes grow linearly."""
 
 import json
 from pathlib import Path
@@ -7,11 +7,11 @@
 
 from ..loopback import own_address
 
-ADDRESS = "127.0.0.1:9"  # of backends that nobody asks
+UNUSED_ADDRESS = "127.0.0.1:9"  # of backends that receive no requests
 
 
 class Catalogue(msgspec.Struct, frozen=True):
-    """How much stands in a node's file."""
+    """The numbers of routes, tenants and backends in a node's file."""
 
     routes: int = 10
     tenants: int = 20
@@ -27,23 +27,23 @@
     return {"name": f"t{number:06}", "quota_per_s": 1000.0}
 
 
-def member(number: int, address: str = ADDRESS, locations: int = 3) -> dict:
+def member(number: int, address: str = UNUSED_ADDRESS, locations: int = 3) -> dict:
     return {"id": f"b{number:06}", "host_port": address, "locality": str(number % locations),
             "flavor": "std", "cell": number % 100, "phase": "ready", "size": 1.0,
             "up_since_ms": 0}  # fmt: skip
 
 
-def document(name: str, told: Catalogue, discovery: str, nodes: int, me: int = 0,
+def document(name: str, catalogue: Catalogue, discovery: str, nodes: int, me: int = 0,
              members: list[dict] | None = None, saved: bool = True, probes: bool = True) -> dict:  # fmt: skip
-    """`saved`: the list stands in the file too, as it does where the platform starts a node."""
-    listed = [member(n) for n in range(told.backends)] if members is None else members
+    """Returns a node's configuration. `saved`: includes the endpoint list, as the platform does."""
+    entries = [member(n) for n in range(catalogue.backends)] if members is None else members
     return {
         "name": name, "listen": own_address(), "admin": own_address(), "discovery": discovery, "seed": "7",
-        "known": {"revision": 0, "complete": True, "members": listed if saved else []},
+        "known": {"revision": 0, "complete": True, "members": entries if saved else []},
         "limits": {"list_bytes": 64 << 20, "memory_mb": 1024, "sockets": 4096, "cores": 1.0},
         "settings": {
-            "routes": [route(n) for n in range(told.routes)],
-            "accounts": [tenant(n) for n in range(told.tenants)], "kinds": ["std"], "me": me,
+            "routes": [route(n) for n in range(catalogue.routes)],
+            "accounts": [tenant(n) for n in range(catalogue.tenants)], "kinds": ["std"], "me": me,
             "zones": ["0", "1", "2"], "zone": 0, "siblings": nodes, "discovery": "pushed", "tick": 1000,
             "feedback": {"how": "inline", "fields": ["rif", "q", "busy"]},
             "prices": {"probe": 0.002, "peer": 0.01, "cross_zone": 0.0},
@@ -63,10 +63,10 @@
     return "\n".join(lines) + "\n"
 
 
-def put(folder: Path, made: dict) -> Path:
-    """The node's folder with its file; what it keeps is kept there too."""
-    home = folder / made["name"]
+def write_document(folder: Path, configuration: dict) -> Path:
+    """Writes the node's file into its own folder, which also takes its stored state; returns the path."""
+    home = folder / configuration["name"]
     home.mkdir(parents=True, exist_ok=True)
     path = home / "node.json"
-    path.write_text(json.dumps(made))
+    path.write_text(json.dumps(configuration))
     return path
--- a/basalthoist/experiments/scale/fleets.py
+++ b/basalthoist/experiments/scale/fleets.py
@@ -1,4 +1,4 @@
-"""Layer: a fleet on sockets. Voters and a few others are real processes, all the others hollow."""
+"""Layer: a fleet on sockets. The voters and one more node are real processes, all others are hollow nodes."""
 
 import asyncio
 import time
@@ -7,26 +7,27 @@
 
 from ..loopback import own_address
 from . import files
-from .bench import Bench, Real, RunFailed
-from .lateness import void_of
+from .bench import Bench, RealNode, RunFailed
+from .lateness import void_reason
 from .rows import Row
 from .sizes import Ask
 
 NAME = "fleet"
-VOTERS, IDLE = 5, 1  # real processes: voters, and one more to compare hollow nodes with
-EACH = 330  # hollow nodes in a process at the most
-MOST_WORKERS = 10
+VOTERS, IDLE = 5, 1  # real nodes: the voters, and idle ones to compare hollow nodes with
+MAX_NODES_PER_WORKER = 330
+MAX_WORKERS = 10
 SLOW_BEAT_S, BEAT_S = 1.0, 0.2
-FAST_UP_TO = 1_000  # nodes at a beat of 0.2 s; with more the machine is not enough, which a trial showed
+MAX_NODES_AT_SHORT_BEAT = 1_000  # at a beat of 0.2 s; a trial with more nodes overloaded the machine
 LIMITS = (8, 32)
 JOIN_S, WINDOW_S, CHANGES = 30.0, 10.0, 3
 SETTLE_S = 2.0
-DOOR_AT = 200, 400  # nodes, from and to, at which another door than the author's is tried too
-TOLD = files.Catalogue()
+# Smallest and largest fleet at which the admin interface of an idle node is called too.
+IDLE_CALL_NODES = 200, 400
+CATALOGUE = files.Catalogue()
 MODULE = f"{__package__}.real"
 
 
-def part_of_core(old: dict, new: dict) -> float:
+def core_use(old: dict, new: dict) -> float:
     return (new["cpu_s"] - old["cpu_s"]) / (new["at"] - old["at"])
 
 
@@ -44,71 +45,74 @@
         voters = names[:VOTERS]
         fleet = bench.folder / "fleet.toml"
         fleet.write_text(files.fleet_file(addresses, voters, self.beat_s, self.limits))
-        members = [files.member(number) for number in range(TOLD.backends)]
+        members = [files.member(number) for number in range(CATALOGUE.backends)]
         _, discovery = await bench.agent(members)
 
-        def made(name: str) -> dict:
-            return files.document(name, TOLD, discovery, self.nodes, int(name[1:]), members)
+        def document_of(name: str) -> dict:
+            return files.document(name, CATALOGUE, discovery, self.nodes, int(name[1:]), members)
 
-        self.reals = [bench.real(made(name)) for name in names[: VOTERS + IDLE]]
+        self.reals = [bench.real(document_of(name)) for name in names[: VOTERS + IDLE]]
         hollow = names[VOTERS + IDLE :]
-        count = min(max(-(-len(hollow) // EACH), min(4, len(hollow))), MOST_WORKERS)
+        count = min(max(-(-len(hollow) // MAX_NODES_PER_WORKER), min(4, len(hollow))), MAX_WORKERS)
         workers = await asyncio.gather(*(bench.worker() for _ in range(count)))
-        empty = [await worker.ask("begin") for worker in workers]
+        idle_workers = [await worker.ask("begin") for worker in workers]
         await asyncio.sleep(1.0)
-        # What a process without nodes spends, on its own lateness, goes off again.
-        still = [part_of_core(old, await w.ask("read")) for old, w in zip(empty, workers, strict=True)]
+        # The processor time of a worker without nodes, for its own lateness timer, is subtracted later.
+        idle_core = [core_use(old, await w.ask("read")) for old, w in zip(idle_workers, workers, strict=True)]
         parts = [hollow[number::count] for number in range(count)]
-        orders = [[{"file": str(files.put(bench.folder, made(name))), "fleet": str(fleet)} for name in part]
-                  for part in parts]  # fmt: skip
+        orders = [[{"file": str(files.write_document(bench.folder, document_of(name))), "fleet": str(fleet)}
+                   for name in part] for part in parts]  # fmt: skip
         await asyncio.gather(*(real.start(MODULE, fleet) for real in self.reals))
         await self.author()
         began = time.monotonic()
         await asyncio.gather(*(w.ask("start", nodes=o) for w, o in zip(workers, orders, strict=True)))
         started_s = time.monotonic() - began
-        there = await self.joined(bench, began)
-        joined_s = time.monotonic() - began if there else 0.0
+        all_fresh = await self.wait_until_fresh(bench, began)
+        joined_s = time.monotonic() - began if all_fresh else 0.0
         await asyncio.sleep(SETTLE_S)
         author = await self.author()
-        return await self.measured(bench, empty, sum(still), author, hollow, joined_s, started_s)
+        return await self.measure_run(
+            bench, idle_workers, sum(idle_core), author, hollow, joined_s, started_s
+        )
 
-    async def joined(self, bench: Bench, began: float) -> bool:
-        """Whether all are in touch; where they never are, the rest is measured all the same."""
+    async def wait_until_fresh(self, bench: Bench, began: float) -> bool:
+        """Waits until all nodes are fresh; returns False after JOIN_S. The run is measured in either case."""
         while time.monotonic() - began < JOIN_S:
-            seen = await bench.everywhere("look")
-            if all(one["fresh"] for one in seen):
+            seen = await bench.ask_all("look")
+            if all(figures["fresh"] for figures in seen):
                 return True
             await asyncio.sleep(0.1)
         return False
 
-    async def author(self) -> Real:
-        """All are asked at once: only the author itself can answer, its answer being too long for a datagram
-        from some 135 nodes on."""
+    async def author(self) -> RealNode:
+        """Returns the leader. Calls all voters at once: from about 135 nodes on only the leader itself can
+        answer, since its answer is too long for a datagram to another node. Raises RunFailed.
+        """
         until = time.monotonic() + 30 * max(self.beat_s, 0.5)
         while time.monotonic() < until:
-            asked = [real.call("fleet-status", 1.0) for real in self.reals[:VOTERS]]
-            for text in await asyncio.gather(*asked):
-                words = text.split()
-                if words[:2] == ["SUCCESS", "author"]:
-                    return next(one for one in self.reals if one.name == words[2])
+            calls = [real.call("fleet-status", 1.0) for real in self.reals[:VOTERS]]
+            for text in await asyncio.gather(*calls):
+                answer = text.split()
+                if answer[:2] == ["SUCCESS", "author"]:
+                    return next(real for real in self.reals if real.name == answer[2])
             await asyncio.sleep(0.2)
-        raise RunFailed("no author")
+        raise RunFailed("no voter answered fleet-status as the leader")
 
-    async def measured(self, bench: Bench, empty: list[dict], still: float, author: Real,
-                       hollow: list[str], joined_s: float, started_s: float) -> list[Row]:  # fmt: skip
-        before = await bench.everywhere("begin")
+    async def measure_run(self, bench: Bench, idle_workers: list[dict], idle_core: float, author: RealNode,
+                          hollow: list[str], joined_s: float, started_s: float) -> list[Row]:  # fmt: skip
+        before = await bench.ask_all("begin")
         bench.lateness.begin()
         reals = {real.name: real.read() for real in self.reals}
-        counts = {real.name: real.counted() for real in self.reals}
+        counts = {real.name: real.read_counts() for real in self.reals}
         await asyncio.sleep(self.window_s)
-        after = await bench.everywhere("read", words=True)
+        after = await bench.ask_all("read", words=True)
         reals_after = {real.name: real.read() for real in self.reals}
-        await asyncio.sleep(0.6)  # for their counts to be written once more
-        counts_after = {real.name: real.counted() for real in self.reals}
+        await asyncio.sleep(0.6)  # until the real nodes have written their counts again
+        counts_after = {real.name: real.read_counts() for real in self.reals}
         late = max([one["late_p99_ms"] for one in after] + [bench.lateness.p99_ms()])
-        void = void_of(late)
+        void = void_reason(late)
         if await self.author() is not author:
-            void = void or "the author changed meanwhile"
+            void = void or "the author changed during the run"
         rows: list[Row] = []
 
         def row(figure: str, value: float, unit: str, counted=False, **more) -> None:
@@ -120,10 +124,10 @@
             row("hollow nodes all in touch after they began at once", joined_s, "s", began_in_s=started_s)
         else:
             row(f"never all in touch within {JOIN_S:g} s", 1, "", began_in_s=started_s)
-        spent = sum(part_of_core(old, new) for old, new in zip(before, after, strict=True))
-        row("hollow node: part of a core", (spent - still) / len(hollow), "core")
-        held = sum(b["memory_mb"] - e["memory_mb"] for b, e in zip(before, empty, strict=True))
-        row("hollow node: memory beyond an empty process", held / len(hollow), "MB")
+        spent = sum(core_use(old, new) for old, new in zip(before, after, strict=True))
+        row("hollow node: part of a core", (spent - idle_core) / len(hollow), "core")
+        memory_mb = sum(b["memory_mb"] - e["memory_mb"] for b, e in zip(before, idle_workers, strict=True))
+        row("hollow node: memory beyond an empty process", memory_mb / len(hollow), "MB")
         sides = {"out": "sent", "in": "heard"}
         seconds = after[0]["at"] - before[0]["at"]
         for way, key in sides.items():
@@ -141,7 +145,7 @@
         idle = self.reals[-1]
         others = [real for real in self.reals[:VOTERS] if real is not author]
         for role, found in (("author", [author]), ("voter", others), ("real node", [idle])):
-            parts = [part_of_core(reals[real.name], reals_after[real.name]) for real in found]
+            parts = [core_use(reals[real.name], reals_after[real.name]) for real in found]
             row(f"{role}: part of a core", sum(parts) / len(parts), "core")
             memory = [reals_after[real.name]["memory_mb"] for real in found]
             row(f"{role}: memory", sum(memory) / len(memory), "MB")
@@ -157,14 +161,14 @@
         lost = counts_after[author.name]["dropped"] - counts[author.name]["dropped"]
         row("datagrams dropped at the author's full socket", lost, "words", True)
         if joined_s:
-            await self.change(author, row)
-        if joined_s and DOOR_AT[0] <= self.nodes <= DOOR_AT[1] and self.changes:
+            await self.measure_changes(author, row)
+        if joined_s and IDLE_CALL_NODES[0] <= self.nodes <= IDLE_CALL_NODES[1] and self.changes:
             text = await idle.call("fleet-status", 9.0)
             answered = text.startswith("SUCCESS")
             row("fleet-status is answered at another node's door", float(answered), "", True, text=text[:100])
         return rows
 
-    async def change(self, author: Real, row) -> None:
+    async def measure_changes(self, author: RealNode, row) -> None:
         waits = []
         for number in range(self.changes):
             began = time.monotonic()
@@ -179,17 +183,17 @@
 
 
 class Fleets:
-    """A layer for each beat: at the longer one also what a machine cannot run at the shorter one."""
+    """A layer for one beat. The longer beat allows fleets too large for the machine at the shorter one."""
 
-    ABOUT = "a node's, a voter's and the author's share of a core, memory and words: verdicts, membership"
+    ABOUT = "processor time, memory and messages of a node, a voter and the leader: verdicts, membership"
 
     def __init__(self, name: str, beat_s: float) -> None:
         self.NAME, self.beat_s = name, beat_s
 
     def runs(self, ask: Ask) -> list[Run]:
         window, changes = (2.0, 2) if ask.quick else (WINDOW_S, CHANGES)
-        most = FAST_UP_TO if self.beat_s < SLOW_BEAT_S else ask.sizes[-1]
-        sizes = [n for n in ask.sizes if n <= most]
+        max_nodes = MAX_NODES_AT_SHORT_BEAT if self.beat_s < SLOW_BEAT_S else ask.sizes[-1]
+        sizes = [n for n in ask.sizes if n <= max_nodes]
         found = [Run(n, self.beat_s, 0, window, changes) for n in sizes]
         if not ask.quick and self.beat_s < SLOW_BEAT_S:
             found += [Run(n, self.beat_s, limits, window, 0) for n in sizes[:1] for limits in LIMITS]
@@ -201,8 +205,8 @@
             try:
                 async with Bench(folder / str(number)) as bench:
                     found = await run.play(bench)
-            except RunFailed as wrong:
-                found = [Row(NAME, "run" + run.tail(), run.nodes, 0.0, "nodes", "", void=str(wrong))]
+            except RunFailed as error:
+                found = [Row(NAME, "run" + run.tail(), run.nodes, 0.0, "nodes", "", void=str(error))]
             yield found
             void = next((row.void for row in found if row.void), "")
             took = f"{time.monotonic() - began:.0f} s" + (f", void: {void}" if void else "")
--- a/basalthoist/experiments/scale/hollow.py
+++ b/basalthoist/experiments/scale/hollow.py
@@ -1,10 +1,10 @@
 """A process with many hollow nodes: `python -m basalthoist.experiments.scale.hollow`.
 
-Each is the whole `Service` of a node from its own file, with its sockets, timers, log and folder; only nobody
-asks it anything. Orders come as lines of JSON on standard input, one answer each goes to standard output;
-where the input ends, so does the process, so none outlives who started it.
+A hollow node is the complete `Service` of a node with its own file, sockets, timers, log and folder, but it
+receives no requests. Orders are lines of JSON on standard input, each answered by a line on standard output.
+The process ends with its input, so it does not outlive its parent.
 
-A role is a class with `start(order)`, `figures()` and `close()`; a further layer adds its own to `ROLES`.
+A role is a class with `start(order)`, `figures()` and `close()`; other layers add their own to `ROLES`.
 """
 
 import asyncio
@@ -21,25 +21,25 @@
 from . import counting
 from .lateness import Lateness
 
-ABREAST = 20  # nodes that are begun before the loop has a turn
+MAX_STARTS_PER_TURN = 20  # nodes started before the event loop runs again
 
 
 class HollowNode:
-    """The program's own node. The fleet's file is read once a process: in all else it is as a real one."""
+    """A node of the product. It differs from a real one only in that a process reads the fleet file once."""
 
-    fleets: dict = {}
+    fleet_documents: dict = {}
 
     def __init__(self, loop) -> None:
         self.loop, self.service, self.task = loop, None, None
 
     def start(self, order: dict) -> None:
         environment = {"PROXY_CONFIG": order["file"], "TMPDIR": os.path.dirname(order["file"])}
-        configuration, told = load(environment), None
+        configuration, fleet_document = load(environment), None
         if path := order.get("fleet"):
-            if path not in self.fleets:
-                self.fleets[path] = load_fleet(configuration, environment | {"PROXY_FLEET": path})
-            told = self.fleets[path]
-        self.service = Service(configuration, self.loop, fleet=told)
+            if path not in self.fleet_documents:
+                self.fleet_documents[path] = load_fleet(configuration, environment | {"PROXY_FLEET": path})
+            fleet_document = self.fleet_documents[path]
+        self.service = Service(configuration, self.loop, fleet=fleet_document)
         self.task = self.loop.create_task(self.service.serve())
 
     def figures(self) -> dict:
@@ -57,34 +57,35 @@
 ROLES = {"node": HollowNode}
 
 
-def least_of(found: list[dict]) -> dict:
-    """Of all that this process holds: how many, and the least of each figure."""
-    keys = {key for one in found for key in one}
-    return {"count": len(found)} | {key: min(one.get(key, 0) for one in found) for key in sorted(keys)}
+def minimum_of(figures: list[dict]) -> dict:
+    """Returns the number of nodes of this process and the minimum of each figure over them."""
+    keys = {key for node_figures in figures for key in node_figures}
+    return {"count": len(figures)} | {key: min(one.get(key, 0) for one in figures) for key in sorted(keys)}
 
 
 class Worker:
     def __init__(self, loop) -> None:
-        self.loop, self.held, self.ended = loop, [], loop.create_future()
+        self.loop, self.nodes, self.ended = loop, [], loop.create_future()
         self.lateness = Lateness(loop)
         self.text = b""
 
     async def start(self, order: dict) -> dict:
         role = ROLES[order.get("role", "node")]
-        for number, one in enumerate(order["nodes"]):
-            made = role(self.loop)
-            made.start(one)
-            self.held.append(made)
-            if number % ABREAST == ABREAST - 1:
+        for number, node_order in enumerate(order["nodes"]):
+            node = role(self.loop)
+            node.start(node_order)
+            self.nodes.append(node)
+            if number % MAX_STARTS_PER_TURN == MAX_STARTS_PER_TURN - 1:
                 await asyncio.sleep(0)
-        return {"held": len(self.held)}
+        return {"held": len(self.nodes)}
 
     async def begin(self, order: dict) -> dict:
-        """What is measured begins now. What stands by now is no work for the collector any more: some hundred
-        nodes' objects in one process would stop it for as long as no single node ever stands still."""
+        """Starts the measurement and returns the figures. Freezes all objects first: garbage collection
+        over some hundred nodes would stop this process for longer than a single node ever stops.
+        """
         gc.collect()
         gc.freeze()
-        counting.forget_words()
+        counting.reset_counts()
         self.lateness.begin()
         return await self.read(order)
 
@@ -92,24 +93,24 @@
         pid = os.getpid()
         return {"at": time.monotonic(), "cpu_s": counting.cpu_s(pid), "memory_mb": counting.memory_mb(pid),
                 "late_p99_ms": self.lateness.p99_ms(), "dropped": counting.dropped_here(),
-                "words": counting.words() if order.get("words") else {},
-                "least": least_of([one.figures() for one in self.held])}  # fmt: skip
+                "words": counting.message_counts() if order.get("words") else {},
+                "least": minimum_of([node.figures() for node in self.nodes])}  # fmt: skip
 
     async def look(self, order: dict) -> dict:
-        return least_of([one.figures() for one in self.held])
+        return minimum_of([node.figures() for node in self.nodes])
 
     async def end(self, order: dict) -> dict:
-        for one in self.held:
-            one.close()
+        for node in self.nodes:
+            node.close()
         return {}
 
-    async def obey(self, line: bytes) -> None:
+    async def execute(self, line: bytes) -> None:
         order = json.loads(line)
         try:
-            said = await getattr(self, order["do"])(order)
-        except (ConfigurationError, OSError, ValueError) as wrong:
-            said = {"wrong": f"{type(wrong).__name__}: {wrong}"}
-        sys.stdout.write(json.dumps(said) + "\n")
+            reply = await getattr(self, order["do"])(order)
+        except (ConfigurationError, OSError, ValueError) as error:
+            reply = {"wrong": f"{type(error).__name__}: {error}"}
+        sys.stdout.write(json.dumps(reply) + "\n")
         sys.stdout.flush()
         if order["do"] == "end" and not self.ended.done():
             self.ended.set_result(None)
@@ -124,7 +125,7 @@
         line = await reader.readline()
         if not line:
             break
-        await worker.obey(line)
+        await worker.execute(line)
 
 
 def main() -> None:
@@ -134,7 +135,7 @@
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.get_loop().run_until_complete(run())
         sys.stdout.flush()
-        os._exit(0)  # hundreds of nodes that would each part with clients that they do not have
+        os._exit(0)  # skips the graceful shutdown of hundreds of nodes without clients
 
 
 if __name__ == "__main__":
--- a/basalthoist/experiments/scale/lateness.py
+++ b/basalthoist/experiments/scale/lateness.py
@@ -1,34 +1,34 @@
-"""How late the timers of a tool's own loop fire; over the bound, what ran meanwhile does not count."""
+"""Measures how late timers fire on the event loop of the bench. More than allowed makes a run void."""
 
 import time
 
-EVERY_S = 0.05
-MOST_MS = 60.0  # at the 99th percentile: under a third of a beat, the shortest time that is measured by it
+INTERVAL_S = 0.05
+MAX_P99_MS = 60.0  # under a third of a 0.2 s beat, the shortest interval measured
 
 
 class Lateness:
     def __init__(self, loop) -> None:
-        self.loop, self.found = loop, []
-        self.due = time.monotonic() + EVERY_S
-        self.timer = loop.call_later(EVERY_S, self.fire)
+        self.loop, self.samples_ms = loop, []
+        self.due = time.monotonic() + INTERVAL_S
+        self.timer = loop.call_later(INTERVAL_S, self.on_timer)
 
-    def fire(self) -> None:
+    def on_timer(self) -> None:
         at = time.monotonic()
-        self.found.append(max(at - self.due, 0.0) * 1000)
-        self.due = at + EVERY_S
-        self.timer = self.loop.call_later(EVERY_S, self.fire)
+        self.samples_ms.append(max(at - self.due, 0.0) * 1000)
+        self.due = at + INTERVAL_S
+        self.timer = self.loop.call_later(INTERVAL_S, self.on_timer)
 
     def begin(self) -> None:
-        self.found.clear()
+        self.samples_ms.clear()
 
     def p99_ms(self) -> float:
-        ordered = sorted(self.found)
+        ordered = sorted(self.samples_ms)
         return ordered[int(len(ordered) * 0.99)] if ordered else 0.0
 
     def close(self) -> None:
         self.timer.cancel()
 
 
-def void_of(late_ms: float, bound_ms: float = MOST_MS) -> str:
-    """Why a run does not count, or nothing."""
-    return f"the tool was {late_ms:.0f} ms late at p99, {bound_ms:.0f} allowed" if late_ms > bound_ms else ""
+def void_reason(late_ms: float, bound_ms: float = MAX_P99_MS) -> str:
+    """Returns why a run is void, or an empty string if it is valid."""
+    return f"the bench was {late_ms:.0f} ms late at p99, {bound_ms:.0f} allowed" if late_ms > bound_ms else ""
--- a/basalthoist/experiments/scale/load.py
+++ b/basalthoist/experiments/scale/load.py
@@ -10,19 +10,19 @@
 import time
 from random import Random
 
-from ..loopback import void_of
+from ..loopback import void_reason
 
 clock = time.monotonic_ns
-WARM_S = 3.0  # of the beginning, which do not count: connections come up, profiles are learnt
+WARM_UP_S = 3.0  # not counted: connections are being opened and latency profiles learnt
 
 
-class Backend(asyncio.Protocol):
-    """Answers after a time drawn around the mean, however many it holds, and says when it wrote."""
+class BackendConnection(asyncio.Protocol):
+    """Answers after a random time around `work_s`, whatever its load; Said-At is the time of the answer."""
 
-    held = 0
+    in_flight = 0
 
-    def __init__(self, work_s: float, rng: Random) -> None:
-        self.work_s, self.rng, self.text = work_s, rng, b""
+    def __init__(self, work_s: float, random: Random) -> None:
+        self.work_s, self.random, self.text = work_s, random, b""
 
     def connection_made(self, transport) -> None:
         self.transport = transport
@@ -34,20 +34,20 @@
             if b"/status/load" in head[:40]:
                 self.answer(False)
             else:
-                Backend.held += 1
-                work = self.rng.gammavariate(4.0, self.work_s / 4.0)
+                BackendConnection.in_flight += 1
+                work = self.random.gammavariate(4.0, self.work_s / 4.0)
                 asyncio.get_running_loop().call_later(work, self.answer, True)
 
     def answer(self, worked: bool) -> None:
-        Backend.held -= worked
+        BackendConnection.in_flight -= worked
         if not self.transport.is_closing():
             more = b"Said-At: %d\r\n" % clock() if worked else b""
             head = b"HTTP/1.1 200 OK\r\n%bServer-Load: inflight=0\r\nContent-Length: 2\r\n\r\nok" % more
             self.transport.write(head)
 
 
-class Asking(asyncio.Protocol):
-    """One client's connection: a request at a time."""
+class ClientConnection(asyncio.Protocol):
+    """A client's connection, with one request at a time."""
 
     def __init__(self) -> None:
         self.text, self.waiter, self.transport = b"", None, None
@@ -67,7 +67,7 @@
             status, closes = int(head.split(b" ", 2)[1]), b"connection: close" in head.lower()
             self.waiter.set_result((status, clock(), closes))
 
-    def connection_lost(self, wrong) -> None:
+    def connection_lost(self, error) -> None:
         if self.waiter is not None and not self.waiter.done():
             self.waiter.set_result((0, clock(), True))
 
@@ -77,31 +77,31 @@
                  seed: int) -> None:  # fmt: skip
         host, _, port = address.rpartition(":")
         self.address, self.rate, self.seconds = (host, int(port)), rate, seconds
-        self.routes, self.tenants, self.rng = routes, tenants, Random(seed)
-        self.idle: list[Asking] = []
+        self.routes, self.tenants, self.random = routes, tenants, Random(seed)
+        self.idle: list[ClientConnection] = []
         self.late_ms, self.found = [], []
 
     async def run(self) -> dict:
-        began, at, asked, number = time.monotonic(), 0.0, set(), 0
+        began, at, tasks, number = time.monotonic(), 0.0, set(), 0
         while at < self.seconds:
-            at += self.rng.expovariate(self.rate)
+            at += self.random.expovariate(self.rate)
             if (wait := began + at - time.monotonic()) > 0:
                 await asyncio.sleep(wait)
             number += 1
-            task = asyncio.create_task(self.ask(began + at, number, at > WARM_S))
-            asked.add(task)
-            task.add_done_callback(asked.discard)
-        await asyncio.gather(*asked)
+            task = asyncio.create_task(self.send_request(began + at, number, at > WARM_UP_S))
+            tasks.add(task)
+            task.add_done_callback(tasks.discard)
+        await asyncio.gather(*tasks)
         return {"found": self.found, "late_ms": sorted(self.late_ms), "offered": number}
 
-    async def ask(self, meant_at: float, number: int, counts: bool) -> None:
-        route = int(self.routes * self.rng.random() ** 3)  # skewed: half of it goes to an eighth of them
-        tenant = int(self.tenants * self.rng.random() ** 3)
+    async def send_request(self, scheduled_at: float, number: int, counts: bool) -> None:
+        route = int(self.routes * self.random.random() ** 3)  # skewed: an eighth of the routes get half
+        tenant = int(self.tenants * self.random.random() ** 3)
         if self.idle:
             line = self.idle.pop()
         else:
             loop = asyncio.get_running_loop()
-            _, line = await loop.create_connection(Asking, *self.address)
+            _, line = await loop.create_connection(ClientConnection, *self.address)
         line.waiter = asyncio.get_running_loop().create_future()
         sent = clock()
         line.transport.write(
@@ -110,7 +110,7 @@
         )
         status, at, closes = await line.waiter
         if counts:
-            self.late_ms.append(max(sent / 1e6 - meant_at * 1000, 0.0))
+            self.late_ms.append(max(sent / 1e6 - scheduled_at * 1000, 0.0))
             self.found.append([status, sent, at])
         if closes:
             line.transport.close()
@@ -119,9 +119,9 @@
 
 
 async def serve(count: int, work_s: float) -> None:
-    loop, rng, addresses = asyncio.get_running_loop(), Random(1), []
+    loop, random, addresses = asyncio.get_running_loop(), Random(1), []
     for _ in range(count):
-        server = await loop.create_server(lambda: Backend(work_s, rng), "127.0.0.1", 0)
+        server = await loop.create_server(lambda: BackendConnection(work_s, random), "127.0.0.1", 0)
         addresses.append(f"127.0.0.1:{server.sockets[0].getsockname()[1]}")
     print(json.dumps(addresses), flush=True)
     await loop.run_in_executor(None, sys.stdin.read)
@@ -130,15 +130,15 @@
 def main() -> None:
     import uvloop
 
-    what, *more = sys.argv[1:]
-    if what == "backends":
+    role, *more = sys.argv[1:]
+    if role == "backends":
         uvloop.run(serve(int(more[0]), float(more[1]) / 1000))
     else:
         address, rate, seconds, routes, tenants, seed = more
         clients = Clients(address, float(rate), float(seconds), int(routes), int(tenants), int(seed))
         found = uvloop.run(clients.run())
         late = found["late_ms"][int(len(found["late_ms"]) * 0.99)] if found["late_ms"] else 0.0
-        print(json.dumps(found | {"late_ms": late, "void": void_of(late) or ""}), flush=True)
+        print(json.dumps(found | {"late_ms": late, "void": void_reason(late) or ""}), flush=True)
 
 
 if __name__ == "__main__":
--- a/basalthoist/experiments/scale/parts.py
+++ b/basalthoist/experiments/scale/parts.py
@@ -1,44 +1,54 @@
-"""What was added to each exchange, taken apart, from a trace and what its clients saw."""
+"""Splits the latency added to each request into parts, from a node's trace and the times of its clients."""
 
 from bisect import bisect_left
 from typing import NamedTuple
 
-from .traced import ANSWERED, BEGUN, CARRIED, DECIDED, HEARD, READ, SENT, WRITTEN
-
-HOLDS = ("in share", "cold", "surplus", "asked a backend", "again")
+from .traced import (
+    DECIDED,
+    ON_CONNECTION,
+    REQUEST_READ,
+    REQUEST_WRITTEN,
+    RESPONSE_RECEIVED,
+    RESPONSE_WRITTEN,
+    SENT,
+    STARTED,
+)
+
+WAIT_REASONS = ("in share", "cold", "surplus", "asked a backend", "again")
 PARTS = (
-    "waiting to be read", "reading", "deciding", *(f"held: {why}" for why in HOLDS),
+    "waiting to be read", "reading", "deciding", *(f"held: {why}" for why in WAIT_REASONS),
     "waiting for a connection", "writing on", "answer waiting to be read", "answering", "on its way back",
     "the once-a-second round", "collection of garbage",
 )  # fmt: skip
 
 
 class Added(NamedTuple):
-    """In ms; `parts` sum up to `whole`."""
+    """Added latency in ms; `parts` sum up to `whole`."""
 
     whole: float
     parts: dict[str, float]
 
 
 class Spans:
-    """Times at which the loop stood still for a known reason; they do not overlap and are in order."""
+    """Intervals during which the event loop was blocked for a known reason, in order, not overlapping."""
 
     def __init__(self, spans: list) -> None:
         self.spans = sorted((begin, end) for begin, end, *_ in spans)
         self.ends = [end for _, end in self.spans]
 
     def within(self, begin: int, end: int) -> int:
-        found = 0
+        """Returns how much of the time from `begin` to `end` lies in the intervals."""
+        total = 0
         for at in range(bisect_left(self.ends, begin), len(self.spans)):
             first, last = self.spans[at]
             if first >= end:
                 break
-            found += max(min(last, end) - max(first, begin), 0)
-        return found
+            total += max(min(last, end) - max(first, begin), 0)
+        return total
 
 
-def without(rounds: list, pauses: list) -> list:
-    """Rounds, with the collections in their midst cut out."""
+def subtract_pauses(rounds: list, pauses: list) -> list:
+    """Returns the ticks, with garbage collections that began within them cut out."""
     found, spans = [], Spans(pauses).spans
     for begin, end in rounds:
         for first, last in spans:
@@ -49,28 +59,32 @@
     return found
 
 
-def apart(trace: dict, found: list) -> list[Added]:
-    """`found`: status, sent, heard of each exchange that counts, by its client."""
-    seen = {sent: heard for status, sent, heard in found if status == 200}
+def split_requests(trace: dict, found: list) -> list[Added]:
+    """Splits the successful requests that took one attempt. `found` has the client's record of each request
+    that counts: status, time sent, time received.
+    """
+    received = {sent: received_at for status, sent, received_at in found if status == 200}
     pauses = Spans(trace["pauses"])
-    rounds, added = Spans(without(trace["rounds"], trace["pauses"])), []
-    for asked_at, said_at, why, tries, *at in trace["exchanges"]:
-        if asked_at not in seen or not said_at or not at[ANSWERED] or tries != 1:
+    rounds, added = Spans(subtract_pauses(trace["rounds"], trace["pauses"])), []
+    for sent_at, answered_at, why, attempts, *at in trace["exchanges"]:
+        if sent_at not in received or not answered_at or not at[RESPONSE_WRITTEN] or attempts != 1:
             continue
-        heard, hold = seen[asked_at], f"held: {why or 'in share'}"
+        received_at, hold = received[sent_at], f"held: {why or 'in share'}"
         spans = [
-            ("waiting to be read", asked_at, at[READ]), ("reading", at[READ], at[BEGUN]),
-            ("deciding", at[BEGUN], at[DECIDED]), (hold, at[DECIDED], at[SENT]),
-            ("waiting for a connection", at[SENT], at[CARRIED]), ("writing on", at[CARRIED], at[WRITTEN]),
-            ("answer waiting to be read", said_at, at[HEARD]), ("answering", at[HEARD], at[ANSWERED]),
-            ("on its way back", at[ANSWERED], heard),
+            ("waiting to be read", sent_at, at[REQUEST_READ]), ("reading", at[REQUEST_READ], at[STARTED]),
+            ("deciding", at[STARTED], at[DECIDED]), (hold, at[DECIDED], at[SENT]),
+            ("waiting for a connection", at[SENT], at[ON_CONNECTION]),
+            ("writing on", at[ON_CONNECTION], at[REQUEST_WRITTEN]),
+            ("answer waiting to be read", answered_at, at[RESPONSE_RECEIVED]),
+            ("answering", at[RESPONSE_RECEIVED], at[RESPONSE_WRITTEN]),
+            ("on its way back", at[RESPONSE_WRITTEN], received_at),
         ]  # fmt: skip
         parts = dict.fromkeys(PARTS, 0.0)
         for name, begin, end in spans:
-            stood = rounds.within(begin, end), pauses.within(begin, end)
-            parts["the once-a-second round"] += stood[0] / 1e6
-            parts["collection of garbage"] += stood[1] / 1e6
-            parts[name] += max(end - begin - sum(stood), 0) / 1e6
+            blocked = rounds.within(begin, end), pauses.within(begin, end)
+            parts["the once-a-second round"] += blocked[0] / 1e6
+            parts["collection of garbage"] += blocked[1] / 1e6
+            parts[name] += max(end - begin - sum(blocked), 0) / 1e6
         added.append(Added(sum(parts.values()), parts))
     return added
 
@@ -81,8 +95,9 @@
 
 
 def summary(added: list[Added]) -> dict[str, float]:
-    """The whole at its quantiles; each part by its mean, its own 99th percentile, and its mean over those
-    exchanges that had the most added, the slowest hundredth."""
+    """Returns quantiles of the whole, and for each part its mean, its 99th percentile, and its mean over the
+    slowest hundredth of requests, those with the most added latency.
+    """
     whole = [one.whole for one in added]
     bound = quantile(whole, 0.99)
     slow = [one for one in added if one.whole >= bound] or added
--- a/basalthoist/experiments/scale/ranking.py
+++ b/basalthoist/experiments/scale/ranking.py
@@ -1,7 +1,7 @@
-"""Need over allowance at the size that is coming, worst first; what has no mechanism stands on top.
+"""Ranks needs over allowances at the target size, worst first; needs without a mechanism come before all.
 
-Each need comes from a slope, at the size that it was measured at or foretold by the line; a need that the
-slopes do not give is left out and said to be.
+A need is taken from a slope: measured at that size, or extrapolated by the line. A need that the slopes do
+not give is left out and listed as missing.
 """
 
 from typing import NamedTuple
@@ -12,8 +12,8 @@
 from .slopes import Slope
 
 QUICK, SLOW = "beat 0.2 s", "beat 1 s"
-MOST_LIMITS, MOST_VERDICTS = 32, 4096  # configuration.py says so
-READY_S = 10.0
+MAX_LIMITS, MAX_VERDICTS = 32, 4096  # the bounds in basalthoist/configuration
+ALLOWED_START_S = 10.0
 
 
 class Need(NamedTuple):
@@ -21,15 +21,15 @@
     need: float
     allowed: float
     unit: str
-    how: str  # measured, counted, reckoned, or none: there is no mechanism
+    how: str  # "measured", "counted", "reckoned" (extrapolated) or "no mechanism"
     carried_by: str
 
     def ratio(self) -> float:
         return float("inf") if self.how == "no mechanism" else self.need / self.allowed
 
 
-def no_mechanism() -> list[Need]:
-    """In the program as it is there is no way to do these while it serves; `need` is what happens a day."""
+def needs_without_mechanism() -> list[Need]:
+    """Returns what the program cannot do while it serves. `need` is a count a day, or a size."""
     file = "read at the start: configuration.py load, Service.reload"
     return [
         Need("a changed route, tenant or share comes into force while a node serves", sizes.CHANGES_DAY,
@@ -43,31 +43,31 @@
     ]  # fmt: skip
 
 
-def limits_of_the_program() -> list[Need]:
-    """Counted from the program's own bounds."""
+def needs_of_limits() -> list[Need]:
+    """Returns the needs for which the program has a fixed bound."""
     return [
-        Need("quotas and bans set in service, for each tenant one", sizes.TENANTS, MOST_VERDICTS,
+        Need("quotas and bans set in service, for each tenant one", sizes.TENANTS, MAX_VERDICTS,
              "verdicts", "counted", "configuration.py FleetDocument.most_verdicts; register.py Held"),
-        Need("limits over the fleet, for each service one", sizes.SERVICES, MOST_LIMITS,
+        Need("limits over the fleet, for each service one", sizes.SERVICES, MAX_LIMITS,
              "limits", "counted", "configuration.py FleetDocument.limits; shares.py Granter"),
     ]  # fmt: skip
 
 
-def foretold(slope: Slope, x: float) -> tuple[float, str]:
+def need_at(slope: Slope, x: float) -> tuple[float, str]:
     if slope.sizes[-1] == x:
         return slope.largest, "counted" if slope.counted else "measured"
     return slope.at(x), "reckoned"
 
 
 def needs(slopes: dict[str, Slope], points: dict[str, float]) -> tuple[list[Need], list[str]]:
-    """`points`: figures at one size only, as of the path. Also the names of what was not measured."""
-    found, missing = [*no_mechanism(), *limits_of_the_program()], []
+    """Returns the ranked needs and the names of those not measured. `points`: figures at one size only."""
+    found, missing = [*needs_without_mechanism(), *needs_of_limits()], []
 
     def add(what: str, names: list[str], x: float, allowed: float, unit: str, carried_by: str,
             times: float = 1.0) -> None:  # fmt: skip
         if any(name not in slopes for name in names):
             return missing.append(what)
-        values = [foretold(slopes[name], x) for name in names]
+        values = [need_at(slopes[name], x) for name in names]
         how = "reckoned" if "reckoned" in {h for _, h in values} or times != 1.0 else values[0][1]
         found.append(Need(what, sum(v for v, _ in values) * times, allowed, unit, how, carried_by))
 
@@ -84,9 +84,9 @@
         ["catalogue: part of a core of a node that nobody asks, by backends"], sizes.BACKENDS, core,
         "of a core", "balancer.py Balancer.choose; upstream.py Upstream.sweep")  # fmt: skip
     add("a node's start with all tenants and routes", [f"catalogue: start to ready, by {both}"],
-        sizes.TENANTS, READY_S, "s", "configuration.py decode, terms.py flat_map")  # fmt: skip
+        sizes.TENANTS, ALLOWED_START_S, "s", "configuration.py decode, terms.py flat_map")  # fmt: skip
     add("a node's start with all backends", ["catalogue: start to ready, by backends"], sizes.BACKENDS,
-        READY_S, "s", "discovery.py Discovery.learn")  # fmt: skip
+        ALLOWED_START_S, "s", "discovery.py Discovery.learn")  # fmt: skip
     add("discovery's whole list", ["counts: list of discovery"], sizes.BACKENDS, Limits().list_bytes, "B",
         "discovery.py Watch, limits.list_bytes by default")  # fmt: skip
     add("changes of backends at 50 a second, as in a burst of 500 in 10 s",
--- a/basalthoist/experiments/scale/real.py
+++ b/basalthoist/experiments/scale/real.py
@@ -1,6 +1,6 @@
-"""The program as it is, with its words counted: `python -m basalthoist.experiments.scale.real`.
+"""A real node whose fleet messages are counted: `python -m basalthoist.experiments.scale.real`.
 
-Twice a second the counts go into the file that SCALE_COUNTS names, by a thread.
+A thread writes the counts twice a second to the file that SCALE_COUNTS names.
 """
 
 import json
@@ -15,25 +15,25 @@
 
 from . import counting
 
-EVERY_S = 0.5
+WRITE_INTERVAL_S = 0.5
 
 
-def write_on(path: Path) -> None:
-    beside = path.with_suffix(".next")
+def write_counts(path: Path) -> None:
+    new_path = path.with_suffix(".next")
     while True:
-        time.sleep(EVERY_S)
-        with suppress(OSError, RuntimeError):  # a counter may grow meanwhile; the next one is whole
-            told = {
+        time.sleep(WRITE_INTERVAL_S)
+        with suppress(OSError, RuntimeError):  # a counter that grows during the copy: the next write succeeds
+            counts = {
                 "at": time.monotonic(),
-                "words": counting.words(),
+                "words": counting.message_counts(),
                 "dropped": counting.dropped_here(),
                 "thread": threading.get_native_id(),
             }
-            beside.write_text(json.dumps(told))
-            beside.replace(path)
+            new_path.write_text(json.dumps(counts))
+            new_path.replace(path)
 
 
 if __name__ == "__main__":
     counting.install()
-    threading.Thread(target=write_on, args=(Path(os.environ["SCALE_COUNTS"]),), daemon=True).start()
+    threading.Thread(target=write_counts, args=(Path(os.environ["SCALE_COUNTS"]),), daemon=True).start()
     sys.exit(run_node())
--- a/basalthoist/experiments/scale/report.py
+++ b/basalthoist/experiments/scale/report.py
@@ -1,4 +1,4 @@
-"""Tables, charts and the ranking, from the raw rows alone."""
+"""Makes tables, charts and the ranking from the raw rows."""
 
 import json
 from pathlib import Path
@@ -32,17 +32,17 @@
     return lines + ["| " + " | ".join(cells) + " |" for cells in body]
 
 
-def points_of(rows: list[Row]) -> dict[str, float]:
-    """Of the path: the mean of each figure at the mean rate."""
+def points_at_mean_rate(rows: list[Row]) -> dict[str, float]:
+    """Returns the mean of each figure of layer `path` at the mean request rate of a node."""
     groups: dict[str, list[float]] = {}
     for row in rows:
-        if row.layer == "path" and not row.void and row.x == round(sizes.EACH_S):
+        if row.layer == "path" and not row.void and row.x == round(sizes.NODE_REQUESTS_S):
             groups.setdefault(f"path: {row.figure}", []).append(row.value)
     return {name: mean(values) for name, values in groups.items()}
 
 
 def path_table(rows: list[Row]) -> list[str]:
-    """One column for each run of the path, a line for each part of what was added."""
+    """Returns a table of layer `path`: a column for each run, a line for each part of the added latency."""
     mine = [row for row in rows if row.layer == "path" and not row.void and "; " in row.figure]
     runs, found = [], {}
     for row in mine:
@@ -65,8 +65,8 @@
     return ["", "## path: parts of what is added", "", *table(head, body)]
 
 
-def beside(rows: list[Row]) -> list[str]:
-    """A hollow node against a real one in the same run."""
+def hollow_beside_real(rows: list[Row]) -> list[str]:
+    """Returns a table that compares a hollow node with a real one of the same run."""
     pairs = [("part of a core", "part of a core"), ("words in", "words in"), ("words out", "words out"),
              ("bytes in", "bytes in"), ("bytes out", "bytes out")]  # fmt: skip
     fleet = [row for row in rows if row.layer == "fleet" and not row.void]
@@ -97,16 +97,16 @@
 
 
 def write(folder: Path) -> None:
-    """Raises BadInput."""
+    """Writes table.md, ranking.md, slopes.json and the charts. Raises BadInput."""
     rows = rows_in(folder)
-    found, points = slopes(rows), points_of(rows)
+    found, points = slopes(rows), points_at_mean_rate(rows)
     made = "Made from the raw rows beside it: `python -m basalthoist scale --report FOLDER`."
     lines = ["# Scale: slopes", "", made]
     for layer in dict.fromkeys(row.layer for row in rows):
         mine = [s for s in found.values() if s.layer == layer and ": mean" not in s.figure]
         lines += ["", f"## {layer}", "", HEAD, "| --- | --- | --- | --- | --- | --- | --- |"]
         lines += [row_of(slope) for slope in mine]
-    lines += path_table(rows) + beside(rows)
+    lines += path_table(rows) + hollow_beside_real(rows)
     voids = sorted({f"{row.layer}: {row.figure} at {row.x:g}: {row.void.splitlines()[0]}"
                     for row in rows if row.void})  # fmt: skip
     if voids:
@@ -116,20 +116,20 @@
     kept = {name: {"slope": s.slope, "half": s.half, "intercept": s.intercept, "of": s.of, "unit": s.unit,
                    "sizes": s.sizes, "samples": s.samples, "counted": s.counted, "bend": s.bend}
             for name, s in found.items()}  # fmt: skip
-    # Not a number stands in no JSON: a slope that has no interval says so by null.
+    # JSON has no NaN: the half of a slope without an interval is null.
     for one in kept.values():
         one["half"] = None if one["half"] != one["half"] else one["half"]
     (folder / "slopes.json").write_text(json.dumps(kept, indent=1, sort_keys=True) + "\n")
     charts(folder, rows, found)
 
 
-def drawn(folder: Path, name: str, rows: list[Row], figures: list[str], allowed: float, unit: str,
+def draw(folder: Path, name: str, rows: list[Row], figures: list[str], allowed: float, unit: str,
           of: str) -> None:  # fmt: skip
-    there = [f for f in figures if any(r.figure == f and not r.void and r.value > 0 for r in rows)]
-    if not there:
+    present = [f for f in figures if any(r.figure == f and not r.void and r.value > 0 for r in rows)]
+    if not present:
         return
     with chart(folder, name) as axes:
-        for figure in there:
+        for figure in present:
             mine = [r for r in rows if r.figure == figure and not r.void and r.value > 0]
             xs = sorted({r.x for r in mine})
             axes.plot(xs, [mean([r.value for r in mine if r.x == x]) for x in xs], marker="o", label=figure)
@@ -146,22 +146,22 @@
     fleet = [r for r in rows if r.layer == "fleet"]
     roles = ("hollow node", "voter", "author")
     parts = [f"{role}: part of a core, {beat}" for beat in beats for role in roles]
-    drawn(folder, "fleet-core", fleet, parts, sizes.CORE_PART, "part of a core", "nodes")
+    draw(folder, "fleet-core", fleet, parts, sizes.CORE_PART, "part of a core", "nodes")
     words = [f"{role}, {beat}" for beat in beats for role in ("hollow node: bytes in", "author: bytes out")]
-    drawn(folder, "fleet-bytes", fleet, words, sizes.CONTROL_BYTES_S, "bytes a second", "nodes")
+    draw(folder, "fleet-bytes", fleet, words, sizes.CONTROL_BYTES_S, "bytes a second", "nodes")
     kept = [r for r in rows if r.layer == "catalogue"]
     kinds = ("tenants", "routes", "backends")
     for name, figure, allowed, unit in (
         ("memory", "memory of a node", sizes.CONTROL_MB, "MB"), ("start", "start to ready", 10.0, "s"),
         ("core", "part of a core of a node that nobody asks", sizes.CORE_PART, "part of a core"),
     ):  # fmt: skip
-        drawn(folder, f"catalogue-{name}", kept, [f"{figure}, by {kind}" for kind in kinds], allowed, unit,
+        draw(folder, f"catalogue-{name}", kept, [f"{figure}, by {kind}" for kind in kinds], allowed, unit,
               "how many stand in the file")  # fmt: skip
     path_chart(folder, rows)
 
 
 def path_chart(folder: Path, rows: list[Row]) -> None:
-    """The slowest hundredth, part on part."""
+    """Draws a stacked bar for each run: the parts of the latency added to its slowest 1% of requests."""
     end = ": mean of the slowest hundredth; "
     mine = [r for r in rows if r.layer == "path" and not r.void and end in r.figure]
     runs = list(dict.fromkeys((r.figure.partition(end)[2], r.x) for r in mine))
--- a/basalthoist/experiments/scale/rows.py
+++ b/basalthoist/experiments/scale/rows.py
@@ -1,4 +1,4 @@
-"""Raw results: one line of JSON for each figure at each size, kept for good beside those of other runs."""
+"""Raw results: one line of JSON for each figure at each size, appended to those of earlier runs."""
 
 import os
 import time
@@ -14,15 +14,15 @@
     figure: str
     x: float
     value: float
-    of: str  # what x counts
+    of: str  # the quantity that x counts
     unit: str
-    counted: bool = False  # words, bytes, state: the same on any machine; else timed
+    counted: bool = False  # messages, bytes, memory: the same on any machine; else timed
     void: str = ""
     run: str = ""
     more: dict = {}
 
 
-def keep(folder: Path, layer: str, rows: list[Row]) -> None:
+def store(folder: Path, layer: str, rows: list[Row]) -> None:
     folder.mkdir(parents=True, exist_ok=True)
     run = f"{time.strftime('%Y-%m-%dT%H:%M:%S')}-{os.getpid()}"
     with (folder / f"{layer}.jsonl").open("ab") as file:
@@ -32,7 +32,7 @@
 
 
 def rows_in(folder: Path) -> list[Row]:
-    """Raises BadInput."""
+    """Returns all rows of a folder. Raises BadInput."""
     if not folder.is_dir():
         raise BadInput(f"--report: {folder}: no such folder")
     found, decode = [], msgspec.json.Decoder(Row).decode
@@ -40,8 +40,8 @@
         for number, line in enumerate(path.read_bytes().splitlines(), 1):
             try:
                 found.append(decode(line))
-            except msgspec.DecodeError as wrong:
-                raise BadInput(f"--report: {path}: line {number}: {wrong}") from None
+            except msgspec.DecodeError as error:
+                raise BadInput(f"--report: {path}: line {number}: {error}") from None
     if not found:
-        raise BadInput(f"--report: {folder}: no raw results")
+        raise BadInput(f"--report: {folder}: no raw results (*.jsonl)")
     return found
--- a/basalthoist/experiments/scale/traced.py
+++ b/basalthoist/experiments/scale/traced.py
@@ -1,8 +1,8 @@
-"""A real node whose exchanges are timed part by part: `python -m basalthoist.experiments.scale.traced`.
+"""A real node that traces the steps of each request: `python -m basalthoist.experiments.scale.traced`.
 
-The program has no line for this: its methods are wrapped here before it starts. Times are ns of the monotonic
-clock, which clients and backends on this machine share: they say in a header when they wrote. At the end of
-an exchange its parts go to a list; once the node is told to leave, the list goes to the file in SCALE_TRACE.
+The product has no code for this: its methods are wrapped here before it starts. Times are ns of the monotonic
+clock, which clients and backends on this machine share: they send their time of writing in a header. The
+traces of finished requests are kept in memory and written to the file in SCALE_TRACE when the node exits.
 """
 
 import json
@@ -17,21 +17,31 @@
 from basalthoist.net.upstream.connection import Connection
 from basalthoist.start import run_node
 
-from .counting import Pauses
+from .counting import GcPauses
 
 clock = time.monotonic_ns
-READ, BEGUN, DECIDED, SENT, CARRIED, WRITTEN, HEARD, ENDED, ANSWERED = range(9)
-MOST = 400_000  # exchanges kept
+(
+    REQUEST_READ,
+    STARTED,
+    DECIDED,
+    SENT,
+    ON_CONNECTION,
+    REQUEST_WRITTEN,
+    RESPONSE_RECEIVED,
+    ENDED,
+    RESPONSE_WRITTEN,
+) = range(9)
+MAX_TRACES = 400_000  # requests traced; later ones are not recorded
 
 
 class Trace:
-    """One of an exchange: when each step was over, the client's and the backend's word, and why it waited."""
+    """The trace of a request: when each step ended, when client and backend wrote, and why it waited."""
 
-    __slots__ = ("at", "asked_at", "said_at", "why", "tries")
+    __slots__ = ("at", "sent_at", "answered_at", "why", "attempts")
 
     def __init__(self) -> None:
-        self.at, self.asked_at, self.said_at = [0] * 9, 0, 0
-        self.why, self.tries = "", 0
+        self.at, self.sent_at, self.answered_at = [0] * 9, 0, 0
+        self.why, self.attempts = "", 0
 
 
 class Tracer:
@@ -39,15 +49,15 @@
         self.open: dict[int, Trace] = {}
         self.done: list[Trace] = []
         self.rounds: list[tuple[int, int]] = []
-        self.pauses = Pauses()
-        self.read_at = self.heard_at = 0
-        self.carrying = None  # of whom a call is being begun
-        self.calls: dict[int, Trace] = {}  # by the call that waits for a connection
+        self.pauses = GcPauses()
+        self.read_at = self.received_at = 0
+        self.sending = None  # trace of the request whose attempt is being sent
+        self.calls: dict[int, Trace] = {}  # by the id of the call that waits for a connection
 
     def install(self) -> None:
         self.wrap_client()
-        self.wrap_exchanges()
-        self.wrap_node()
+        self.wrap_dispatcher()
+        self.wrap_balancer()
         self.wrap_connection()
 
     def wrap_client(self) -> None:
@@ -59,7 +69,7 @@
 
         HttpClientConnection.data_received = data_received
 
-    def wrap_exchanges(self) -> None:
+    def wrap_dispatcher(self) -> None:
         begin, send, ended, tracer = (
             RequestDispatcher.begin,
             RequestDispatcher.send,
@@ -69,10 +79,10 @@
 
         def traced_begin(host, request, *what):
             trace = tracer.open[request.id] = Trace()
-            trace.at[READ], trace.at[BEGUN] = tracer.read_at, clock()
+            trace.at[REQUEST_READ], trace.at[STARTED] = tracer.read_at, clock()
             head = request.head
             at = head.lower().find(b"sent-at: ")
-            trace.asked_at = int(head[at + 9 : head.index(b"\r", at)]) if at >= 0 else 0
+            trace.sent_at = int(head[at + 9 : head.index(b"\r", at)]) if at >= 0 else 0
             begin(host, request, *what)
             if not trace.at[DECIDED]:
                 trace.at[DECIDED] = clock()
@@ -80,16 +90,16 @@
         def traced_send(host, ident, backend, timeout):
             trace = tracer.open.get(ident)
             if trace is not None:
-                trace.at[SENT], trace.tries = clock(), trace.tries + 1
+                trace.at[SENT], trace.attempts = clock(), trace.attempts + 1
                 if not trace.at[DECIDED]:
-                    trace.at[DECIDED] = trace.at[SENT]  # sent from within the first decision
+                    trace.at[DECIDED] = trace.at[SENT]  # sent during the first decision
                 else:
                     trace.why = tracer.reason(host.balancer, ident, backend)
-            tracer.carrying = trace
+            tracer.sending = trace
             send(host, ident, backend, timeout)
-            tracer.carrying = None
+            tracer.sending = None
             request = host.in_progress.get(ident)
-            waits = trace is not None and trace.at[CARRIED] < trace.at[SENT]
+            waits = trace is not None and trace.at[ON_CONNECTION] < trace.at[SENT]
             if waits and request is not None and request.calls and request.calls[-1] is not None:
                 tracer.calls[id(request.calls[-1])] = trace
 
@@ -97,14 +107,14 @@
             trace = tracer.open.get(request.id)
             if trace is not None:
                 trace.at[ENDED] = clock()
-                said = answer.get(b"said-at") if answer is not None else None
-                trace.said_at, trace.at[HEARD] = int(said or 0), tracer.heard_at
+                answered_header = answer.get(b"said-at") if answer is not None else None
+                trace.answered_at, trace.at[RESPONSE_RECEIVED] = int(answered_header or 0), tracer.received_at
             for call in request.calls:
                 tracer.calls.pop(id(call), None)
             ended(host, request, number, began_at, outcome, answer)
             if trace is not None and not request.open:
                 del tracer.open[request.id]
-                if len(tracer.done) < MOST:
+                if len(tracer.done) < MAX_TRACES:
                     tracer.done.append(trace)
 
         RequestDispatcher.begin, RequestDispatcher.send, RequestDispatcher.on_attempt_ended = (
@@ -114,7 +124,7 @@
         )
 
     def reason(self, node: Balancer, ident: int, name: str) -> str:
-        """Why it did not go out at once, as far as the decisions show it when it does."""
+        """Returns why the attempt was not sent at once, judging by the balancer's state at the send."""
         request, backend, at = node.requests.get(ident), node.backends.get(name), clock() // 100_000
         if request is None or len(request.attempts) > 1:
             return "again"
@@ -124,7 +134,7 @@
             return "cold"
         return "asked a backend" if request.check_rounds and not request.checks_settled else "in share"
 
-    def wrap_node(self) -> None:
+    def wrap_balancer(self) -> None:
         tick, tracer = Balancer.tick, self
 
         def traced_tick(node, now):
@@ -138,17 +148,17 @@
         send, received, tracer = Connection.send, Connection.data_received, self
 
         def traced_send(connection, call):
-            trace = tracer.carrying if not call.is_health_check else None
+            trace = tracer.sending if not call.is_health_check else None
             trace = trace or tracer.calls.pop(id(call), None)
             if trace is None or call.is_health_check:
                 return send(connection, call)
-            trace.at[CARRIED] = clock()
+            trace.at[ON_CONNECTION] = clock()
             send(connection, call)
-            trace.at[WRITTEN] = clock()
+            trace.at[REQUEST_WRITTEN] = clock()
 
         def traced_received(connection, data):
             if connection.call is not None and not connection.call.is_health_check:
-                tracer.heard_at = clock()
+                tracer.received_at = clock()
             received(connection, data)
 
         Connection.send, Connection.data_received = traced_send, traced_received
@@ -159,14 +169,14 @@
             answer(client, *what)
             trace = tracer.open.get(request.id) if request is not None else None
             if trace is not None:
-                trace.at[ANSWERED] = clock()
+                trace.at[RESPONSE_WRITTEN] = clock()
 
         HttpClientConnection.answer = traced_answer
 
     def write(self, path: Path) -> None:
-        rows = [[t.asked_at, t.said_at, t.why, t.tries, *t.at] for t in self.done]
-        told = {"exchanges": rows, "rounds": self.rounds, "pauses": self.pauses.found}
-        path.write_text(json.dumps(told))
+        rows = [[t.sent_at, t.answered_at, t.why, t.attempts, *t.at] for t in self.done]
+        trace_document = {"exchanges": rows, "rounds": self.rounds, "pauses": self.pauses.found}
+        path.write_text(json.dumps(trace_document))
 
 
 if __name__ == "__main__":
--- a/basalthoist/experiments/sites.py
+++ b/basalthoist/experiments/sites.py
@@ -1,4 +1,4 @@
-"""Two sites on loopback with a link between them that delays; one site's backends die and come back."""
+"""Plays two sites on loopback, joined by links with a delay. The backends of one leave and return."""
 
 import asyncio
 import json
@@ -18,18 +18,18 @@
     own_address,
     ready,
     start_node,
-    void_of,
+    void_reason,
 )
 
 GATEWAY = "site = '{own}'\nbeat_s = 0.2\nsilent_s = 1.0\nsteady_s = 0.5\ncalm_s = 1.0\n"
 GATEWAY += "[[sites]]\nname = '{other}'\ngateways = ['{gateway}']\n"
 
 
-class Pipe(asyncio.Protocol):
-    """One direction's end of a connection over the link: what comes is passed on late, in order."""
+class DelayedConnection(asyncio.Protocol):
+    """One end of a connection over a link. Forwards data to the other end in order, after the delay."""
 
-    def __init__(self, link: "Link", other: "Pipe | None" = None) -> None:
-        self.link, self.other, self.transport, self.early = link, other, None, []
+    def __init__(self, link: "Link", other: "DelayedConnection | None" = None) -> None:
+        self.link, self.other, self.transport, self.pending = link, other, None, []
 
     def connection_made(self, transport) -> None:
         self.transport = transport
@@ -37,68 +37,72 @@
             asyncio.get_running_loop().create_task(self.open())
         else:
             self.other.other = self
-            for data in self.other.early:
-                self.other.pass_on(data)
+            for data in self.other.pending:
+                self.other.forward(data)
 
     async def open(self) -> None:
         try:
-            await asyncio.get_running_loop().create_connection(lambda: Pipe(self.link, self), *self.link.to)
+            await asyncio.get_running_loop().create_connection(
+                lambda: DelayedConnection(self.link, self), *self.link.to
+            )
         except OSError:
             self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
         if self.other is None:
-            self.early.append(data)
+            self.pending.append(data)
         else:
-            self.pass_on(data)
+            self.forward(data)
 
-    def pass_on(self, data: bytes) -> None:
-        asyncio.get_running_loop().call_later(self.link.delay_s, self.arrive, data)
+    def forward(self, data: bytes) -> None:
+        asyncio.get_running_loop().call_later(self.link.delay_s, self.deliver, data)
 
-    def arrive(self, data: bytes) -> None:
+    def deliver(self, data: bytes) -> None:
         if not self.link.cut and not self.other.transport.is_closing():
             self.other.transport.write(data)
 
-    def connection_lost(self, wrong) -> None:
+    def connection_lost(self, error) -> None:
         if self.other is not None and self.other.transport is not None:
             self.other.transport.abort()
 
 
 class Link:
-    """From one site's node to a gateway of the other; cut, it takes bytes and says nothing."""
+    """Links one site's node to a gateway of the other. A cut link accepts bytes and drops them silently."""
 
     def __init__(self, to: tuple[str, int], delay_s: float) -> None:
         self.to, self.delay_s, self.cut, self.address = to, delay_s, False, ""
 
     async def listen(self) -> None:
-        server = await asyncio.get_running_loop().create_server(lambda: Pipe(self), "127.0.0.1", 0)
+        server = await asyncio.get_running_loop().create_server(
+            lambda: DelayedConnection(self), "127.0.0.1", 0
+        )
         self.address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
 
 class Site:
     def __init__(self, name: str, scenario: Scenario, runs: dict[str, int], folder: Path) -> None:
         self.name, self.scenario, self.runs, self.folder = name, scenario, runs, folder
-        self.scripts = [ScriptedBackend(scenario, number, runs) for number in range(scenario.backends.count)]
+        self.backends = [ScriptedBackend(scenario, number, runs) for number in range(scenario.backends.count)]
         self.watches: list = []
         self.address, self.process, self.members = address_of(own_address()), None, []
 
     async def open(self) -> None:
-        self.members = await members_of(self.scripts, self.name)
+        self.members = await members_of(self.backends, self.name)
         self.discovery = await open_discovery(self.members, self.watches)
 
     async def start(self, other: str, link: Link | None) -> None:
         listen = "{}:{}".format(*self.address)
-        made = document_for(self.scenario, 0, listen, self.discovery, self.members)
+        configuration = document_for(self.scenario, 0, listen, self.discovery, self.members)
         more = {}
         if link is not None:
             gateway = self.folder / f"{self.name}.toml"
             gateway.write_text(GATEWAY.format(own=self.name, other=other, gateway=link.address))
             more["PROXY_GATEWAY"] = str(gateway)
-        self.process, log = await start_node(self.folder, self.name, made, **more)
+        self.process, log = await start_node(self.folder, self.name, configuration, **more)
         await ready(self.address, self.process, log)
 
-    def tell(self, phase: str) -> None:
-        """The list says it at once; the backends themselves stand still for new work while they are gone."""
+    def announce_phase(self, phase: str) -> None:
+        """Sends the phase of all backends of the site to the open watches, as discovery does on a change."""
         members = [member | {"phase": phase} for member in self.members]
         line = json.dumps({"revision": 2, "complete": False, "members": members}).encode() + b"\n"
         for transport in self.watches:
@@ -130,10 +134,10 @@
         await asyncio.gather(a.start("b", to_b if linked else None), b.start("a", to_a if linked else None))
         clients = [Clients(site.scenario, [site.address], seconds, site.name) for site in (a, b)]
         loop = asyncio.get_running_loop()
-        loop.call_later(seconds / 3, a.tell, "gone")
+        loop.call_later(seconds / 3, a.announce_phase, "gone")
         if fault == "cut":
             loop.call_later(seconds / 2, setattr, to_b, "cut", True)
-        loop.call_later(2 * seconds / 3, a.tell, "ready")
+        loop.call_later(2 * seconds / 3, a.announce_phase, "ready")
         await asyncio.gather(*(one.run() for one in clients))
     finally:
         await asyncio.gather(a.end(), b.end())
@@ -146,17 +150,18 @@
     parts = {}
     for name, one in (("a", a), ("b", b)):
         for phase, (begin, end) in zip(("before", "gone", "back"), thirds, strict=True):
-            at = [second for second in one.asked_at if begin <= second < end]
-            asked = sum(one.asked_at[second] for second in at)
-            parts[f"{name}_{phase}"] = sum(one.kept_at.get(s, 0) for s in at) / max(asked, 1)
-    gone = sorted(s for s in a.asked_at if seconds / 3 <= s < 2 * seconds / 3)
-    good = [s for s in gone if a.kept_at.get(s, 0) >= 0.9 * a.asked_at[s]]
+            at = [second for second in one.offered_by_second if begin <= second < end]
+            offered = sum(one.offered_by_second[second] for second in at)
+            parts[f"{name}_{phase}"] = sum(one.in_time_by_second.get(s, 0) for s in at) / max(offered, 1)
+    gone = sorted(s for s in a.offered_by_second if seconds / 3 <= s < 2 * seconds / 3)
+    good = [s for s in gone if a.in_time_by_second.get(s, 0) >= 0.9 * a.offered_by_second[s]]
     lateness = max(one.late_ms() for one in clients)
     return {
-        "kept": {name: one.kept / one.value for name, one in (("a", a), ("b", b))}, "in_time": parts,
+        "kept": {name: one.value_in_time / one.value_offered for name, one in (("a", a), ("b", b))},
+        "in_time": parts,
         "seconds_to_leave": (good[0] - seconds / 3) if good else None,
         "ran_twice": sum(times > 1 for times in runs.values()), "lateness_p99_ms": lateness,
-        "void": void_of(lateness),
+        "void": void_reason(lateness),
     }  # fmt: skip
 
 
@@ -171,6 +176,7 @@
     left = result["seconds_to_leave"]
     lines.append(f"  seconds until 90% in time again: {'never' if left is None else f'{left:.1f}'}")
     lines.append(
-        f"  ran twice: {result['ran_twice']}; the tool's lateness p99 {result['lateness_p99_ms']:.2f} ms"
+        f"  ran twice: {result['ran_twice']}; "
+        f"lateness of the load generator p99 {result['lateness_p99_ms']:.2f} ms"
     )
     return lines
--- a/basalthoist/experiments/starts.py
+++ b/basalthoist/experiments/starts.py
@@ -1,6 +1,7 @@
-"""Many nodes started at once, with and without busy loops beside: how long until `/ready` says 200.
+"""Measures how long many nodes started at once take until `/ready` returns 200, with or without busy loops
+that compete for the processor.
 
-A node's time counts from the instant at which its process is asked for. Discovery is served from here.
+The time of a node counts from just before its process is spawned. This module serves discovery itself.
 """
 
 import asyncio
@@ -15,19 +16,19 @@
 
 from .loopback import DiscoveryAgent, own_address
 
-ASK_AGAIN_S = 0.1  # how long until a node that was not ready is asked again
-GIVE_UP_S = 120.0
+READY_POLL_INTERVAL_S = 0.1
+READY_TIMEOUT_S = 120.0
 ROUTE = {"name": "read", "semantics": "idempotent", "group": "all", "latency_objective": 300000,
          "overall_timeout": 900000, "value": 1.0}  # fmt: skip
 
 
-class Started(NamedTuple):
-    ready_s: float  # from asking for the process until `/ready` said 200
-    processor_s: float  # what the process had used by then
+class StartTimes(NamedTuple):
+    ready_s: float  # from spawning the process until `/ready` returned 200
+    cpu_s: float  # processor time of the process up to then
 
 
-def processor_s(pid: int) -> float:
-    """Processor time of all threads so far, by the scheduler's own account in nanoseconds."""
+def cpu_s(pid: int) -> float:
+    """Returns the processor time of all threads so far; the scheduler accounts it in nanoseconds."""
     tasks = Path(f"/proc/{pid}/task").iterdir()
     return sum(int((task / "schedstat").read_text().split()[0]) for task in tasks) / 1e9
 
@@ -53,26 +54,32 @@
         writer.close()
 
 
-async def start(command: str, program: Path, path: Path, listen: str, running: list) -> Started:
-    """RuntimeError where it ends or is not ready in GIVE_UP_S."""
+async def start(command: str, program: Path, path: Path, listen: str, running: list) -> StartTimes:
+    """Starts a node and waits until it is ready.
+
+    Raises RuntimeError if the process ends first, TimeoutError after READY_TIMEOUT_S.
+    """
     began = time.monotonic()
     process = await asyncio.create_subprocess_exec(
         "/bin/sh", "-c", command, cwd=program, stderr=asyncio.subprocess.PIPE,
         env={"PROXY_CONFIG": str(path), "TMPDIR": str(path.parent)},
     )  # fmt: skip
     running.append(process)
-    async with asyncio.timeout(GIVE_UP_S):
-        # Its own word that it listens spares it questions while it starts.
+    async with asyncio.timeout(READY_TIMEOUT_S):
+        # Waits for the log line first, so that polling does not slow the start down.
         while b"listening on" not in (line := await process.stderr.readline()):
             if not line:
-                raise RuntimeError(f"{path.name}: ended before it listened")
+                raise RuntimeError(f"{path.name}: the node exited before it listened")
         while not await is_ready(listen):
-            await asyncio.sleep(ASK_AGAIN_S)
-    return Started(time.monotonic() - began, processor_s(process.pid))
+            await asyncio.sleep(READY_POLL_INTERVAL_S)
+    return StartTimes(time.monotonic() - began, cpu_s(process.pid))
+
 
+async def play(count: int, busy: int, program: Path) -> list[StartTimes]:
+    """Starts `count` nodes beside `busy` busy loops and ends all of them before it returns.
 
-async def play(count: int, busy: int, program: Path) -> list[Started]:
-    """`program`: the folder that is started by its deploy/balancer.toml. All have ended afterwards."""
+    `program` is the folder of the program; the `run` key of its deploy/balancer.toml is the start command.
+    """
     loop = asyncio.get_running_loop()
     server = await loop.create_server(lambda: DiscoveryAgent([]), "127.0.0.1", 0, backlog=1024)
     discovery = "{}:{}".format(*server.sockets[0].getsockname())
@@ -80,8 +87,8 @@
     running = []
     try:
         for _ in range(busy):
-            turns = [sys.executable, "-I", "-c", "while True: pass"]
-            running.append(await asyncio.create_subprocess_exec(*turns))
+            busy_loop = [sys.executable, "-I", "-c", "while True: pass"]
+            running.append(await asyncio.create_subprocess_exec(*busy_loop))
         with tempfile.TemporaryDirectory() as folder:
             listens, starting = [own_address() for _ in range(count)], []
             for number, listen in enumerate(listens):
@@ -98,10 +105,10 @@
         server.close()
 
 
-def said(found: list[Started], busy: int) -> str:
-    """One line: how long until the half, nine in ten and the last of them were ready."""
-    waits, spent = sorted(one.ready_s for one in found), sorted(one.processor_s for one in found)
-    half, nine = len(found) // 2, max(0, -(-9 * len(found) // 10) - 1)
-    return (f"{len(found)} starts beside {busy} busy loops: ready after {waits[half]:.2f} s (50th), "
+def said(starts: list[StartTimes], busy: int) -> str:
+    """Returns one line with the median, 90th percentile and longest time until a node was ready."""
+    waits, cpu_times = sorted(node.ready_s for node in starts), sorted(node.cpu_s for node in starts)
+    half, nine = len(starts) // 2, max(0, -(-9 * len(starts) // 10) - 1)
+    return (f"{len(starts)} starts beside {busy} busy loops: ready after {waits[half]:.2f} s (50th), "
             f"{waits[nine]:.2f} s (90th), {waits[-1]:.2f} s (last); "
-            f"processor time {spent[half]:.3f} s (50th), {spent[-1]:.3f} s (most)")  # fmt: skip
+            f"processor time {cpu_times[half]:.3f} s (50th), {cpu_times[-1]:.3f} s (most)")  # fmt: skip
--- a/basalthoist/experiments/statistics.py
+++ b/basalthoist/experiments/statistics.py
@@ -8,7 +8,7 @@
 
 class Mean(NamedTuple):
     mean: float
-    half: float  # of the interval; nan where there is one sample only
+    half: float  # half the width of the confidence interval; nan for a single sample
     samples: int
 
     def text(self, digits: int = 3) -> str:
@@ -26,9 +26,9 @@
     return Mean(mean, float(t.ppf((1 + confidence) / 2, count - 1)) * sqrt(variance / count), count)
 
 
-def paired(ones: dict, others: dict, confidence: float = 0.95) -> Mean:
-    """Of the differences one minus other, on the keys (seed and value) that both have."""
-    common = sorted(ones.keys() & others.keys(), key=str)
+def paired(first: dict, second: dict, confidence: float = 0.95) -> Mean:
+    """Returns the mean of `first - second` over the common keys (seeds). Raises ValueError without any."""
+    common = sorted(first.keys() & second.keys(), key=str)
     if not common:
         raise ValueError("no run in common")
-    return mean_of([ones[key] - others[key] for key in common], confidence)
+    return mean_of([first[key] - second[key] for key in common], confidence)
--- a/basalthoist/fleet/handshakes.py
+++ b/basalthoist/fleet/handshakes.py
@@ -31,11 +31,11 @@
     once it has answered a request that was sent a moment ago.
     """
 
-    def __init__(self, me: str, incarnation: int, rng: Lcg, pause: int) -> None:
+    def __init__(self, me: str, incarnation: int, random: Lcg, min_interval: int) -> None:
         self.me: str = me
         self.incarnation: int = incarnation
-        self.rng: Lcg = rng
-        self.pause: int = pause  # at least, between two requests to a peer
+        self.random: Lcg = random
+        self.min_interval: int = min_interval  # between two requests to the same peer
         self.incarnations: dict[str, int] = {}
         self.pending: dict[str, PendingHandshake] = {}
 
@@ -44,7 +44,7 @@
         pending = self.pending.get(name)
         if pending is not None and now - pending.sent_at < self.pause:
             return None
-        nonce = 1 + int(self.rng.uniform() * NONCE_LIMIT)
+        nonce = 1 + int(self.random.uniform() * NONCE_LIMIT)
         self.pending[name] = PendingHandshake(nonce, now)
         return HandshakeRequest(nonce)
 
--- a/basalthoist/fleet/members.py
+++ b/basalthoist/fleet/members.py
@@ -77,14 +77,14 @@
         incarnation: int,
         names: list[str],
         period: int,
-        rng: Lcg,
+        random: Lcg,
         now: int,
     ) -> None:
         self.host: MembersHost = host
         self.me: str = me
         self.incarnation: int = incarnation
         self.period: int = period
-        self.rng: Lcg = rng
+        self.random: Lcg = random
         self.members: dict[str, Member] = {name: Member(name) for name in names if name != me}
         self.refutations: int = 0
         self.own_transmissions: int = 0  # of the last refutation
@@ -94,8 +94,8 @@
         self.probed: str = ""  # the member whose ack is waited for
         self.probed_at: int = now
         self.probe_step: int = 1
-        self.forwarded: dict[int, ForwardedProbe] = {}  # by the number of this node's probe
-        self.next_probe_at: int = now + int(period * rng.uniform())
+        self.forwarded: dict[int, ForwardedProbe] = {}  # by this node's probe number
+        self.next_probe_at: int = now + int(period * random.uniform())
         self.last_tick_at: int = now
 
     def present(self) -> list[str]:
@@ -182,7 +182,7 @@
         """Probes the next member of the round."""
         # Guards against two halves that never meet again: who is gone is probed now and then.
         while self.round and self.members[self.round[-1]].state is GONE:
-            if self.rng.uniform() >= SKIP_GONE_PROBABILITY:
+            if self.random.uniform() >= SKIP_GONE_PROBABILITY:
                 break
             self.round.pop()
         if not self.round:
@@ -196,7 +196,7 @@
         """Draws the order of the next round."""
         names = list(self.members)
         while names:
-            self.round.append(names.pop(int(self.rng.uniform() * len(names))))
+            self.round.append(names.pop(int(self.random.uniform() * len(names))))
 
     def probe(self, name: str) -> None:
         """Probes a member directly."""
@@ -205,8 +205,8 @@
     def probe_indirectly(self) -> None:
         """Asks others to probe the member that does not answer."""
         others = [name for name in self.present() if name != self.probed]
-        for _ in range(min(INDIRECT_PROBES, len(others))):
-            other = others.pop(int(self.rng.uniform() * len(others)))
+        for _ in range(min(MAX_INDIRECT_PROBES, len(others))):
+            other = others.pop(int(self.random.uniform() * len(others)))
             self.host.send(other, Ping(self.probe_number, self.probed, self.gossip(other)))
 
     # Messages.
--- a/basalthoist/fleet/replica.py
+++ b/basalthoist/fleet/replica.py
@@ -57,7 +57,7 @@
         nodes: list[str],
         voters: list[str],
         bounds: Bounds,
-        rng: Lcg,
+        random: Lcg,
         now: int,
         hint: VerdictSet | None = None,
         holder: QuotaLeaseHolder | None = None,
@@ -66,7 +66,7 @@
         self.me: str = me
         self.voters: list[str] = voters
         self.bounds: Bounds = bounds
-        self.rng: Lcg = rng
+        self.random: Lcg = random
         self.voter: Voter | None = Voter(bounds, now) if me in voters else None
         self.term: int = 0  # the latest leader's, as far as is known
         self.leader_name: str = ""  # empty where no leader is known
@@ -130,8 +130,8 @@
         return now - self.leader_heard_at > self.election_timeout
 
     def draw_election_timeout(self) -> int:
-        """Random. Guards against voters that all stand at once, again and again."""
-        return int(self.bounds.lease * (0.7 + 0.8 * self.rng.uniform()))
+        """Returns a random timeout. Guards against voters that repeatedly stand at the same time."""
+        return int(self.bounds.lease * (0.7 + 0.8 * self.random.uniform()))
 
     # The candidate.
 
