--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that start the program, and the hooks for KNOWN-RED.txt."""
+"""What tests of the program itself start with."""
 
 import pytest
 from helpers import DiscoveryStandIn, Program, StandIn, document, member
@@ -13,21 +13,18 @@
 
 @pytest.fixture
 def faults(tmp_path):
-    """Returns faults to inject into a program that is started with `environment=faults.environment`."""
+    """Faults for a program that is started with `environment=faults.environment`."""
     return Faults(tmp_path)
 
 
 @pytest.fixture
 def start(tmp_path):
-    """Starts stand-in backends with the given behaviours, a discovery that lists them, and the program.
-
-    `told` names the environment variables that are set to the address of discovery.
-    """
+    """Starts stand-ins with the behaviours named, discovery that lists them, and the program."""
     running = []
 
     def begin(
-        *behaviours, known=None, wait=True, listed=True, mute=False, close_after_answer=False, files=1024,
-        told=(), environment=None, agent=None, **more,
+        *behaviours, known=None, wait=True, listed=True, mute=False, close_after_answer=False, files=1024, told=(),
+        environment=None, agent=None, **more,
     ):  # fmt: skip
         backends = [b if isinstance(b, str | StandIn) else StandIn(b) for b in behaviours]
         entries = [member(f"s-{i}", b) for i, b in enumerate(backends)]
@@ -40,5 +37,5 @@
         return (program.wait_ready() if wait else program), backends, discovery
 
     yield begin
-    for started in running:
-        started.close()
+    for one in running:
+        one.close()
