--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -8,7 +8,7 @@
 import pytest
 from helpers import Program, StandIn, member, own_address, reply, request, wait_for
 from test_discovery import ScriptedDiscovery
-from test_succession import QUICK, at
+from test_handover import QUICK, at
 
 TIME = 5.5
 ASKED_S = (
