--- a/basalthoist/fleet/wire.py
+++ b/basalthoist/fleet/wire.py
@@ -216,7 +216,6 @@
 def decode(key: bytes, data: bytes) -> Envelope:
     """Returns the envelope. Raises MessageError for a datagram not sent by a node with this fleet's file."""
     if not CHECKSUM_BYTES < len(data) <= MAX_DATAGRAM_BYTES:
-        raise MessageError(
-            f"expected {CHECKSUM_BYTES + 1} to {MAX_DATAGRAM_BYTES} bytes, got {len(data)} bytes"
-        )
+        # The length received is left out: callers log each reason once.
+        raise MessageError(f"expected {CHECKSUM_BYTES + 1} to {MAX_DATAGRAM_BYTES} bytes")
     return open_sealed(key, data, DECODER)
--- a/basalthoist/message_envelope.py
+++ b/basalthoist/message_envelope.py
@@ -23,7 +23,9 @@
     """Returns the message in `sealed`. Raises MessageError for a wrong checksum or an unknown format."""
     checksum, payload = sealed[:CHECKSUM_BYTES], sealed[CHECKSUM_BYTES:]
     if blake2b(payload, digest_size=CHECKSUM_BYTES, key=key).digest() != checksum:
-        raise MessageError("wrong checksum: damaged, or sent by another fleet or with another fleet file")
+        raise MessageError(
+            "wrong checksum: damaged, or of another fleet, or of a node with another fleet file"
+        )
     try:
         return decoder.decode(payload)
     except (msgspec.DecodeError, RecursionError) as error:
