--- a/basalthoist/emulator/distributed.py
+++ b/basalthoist/emulator/distributed.py
@@ -24,7 +24,7 @@
 from basalthoist.fleet.bounds import Bounds as FleetBounds
 from basalthoist.message_envelope import CHECKSUM_BYTES
 
-from .replicas import Broken, Replicas
+from .replicas import GuaranteeViolated, Replicas
 
 FLEET = "simulated"
 TICK = 1_000  # timer interval of machines and nodes
@@ -549,8 +549,8 @@
             super().on_applied(process, version)
 
     def on_acknowledged(self, version: int) -> None:
-        """Raises Broken, as operators make their calls to the leader and not to the register."""
-        raise Broken("the register answers operators")
+        """Raises GuaranteeViolated, as operators make their calls to the leader and not to the register."""
+        raise GuaranteeViolated("the register answers operators")
 
     # Faults.
 
@@ -568,7 +568,7 @@
         """Returns whether no message passes over the connection."""
         return self.are_separated(*connection.ends)
 
-    def mend(self) -> None:
+    def end_separations(self) -> None:
         """Ends all separations and delivers stalled messages."""
         self.separated_regions, self.isolated, self.separated_pairs = set(), set(), set()
         self.flush()
@@ -660,28 +660,28 @@
         store = machine.store
         version, digest = store.head
         if version <= machine.highest_version:
-            raise Broken(
+            raise GuaranteeViolated(
                 f"{machine.name}'s store went back from version {machine.highest_version} to {version}"
             )
         machine.highest_version = version
         if store.catalogue.digest() != digest:
-            raise Broken(f"{machine.name}'s store does not match its digest")
+            raise GuaranteeViolated(f"{machine.name}'s store does not match its digest")
         if version not in self.truth:
             self.note_version(version, digest, store.catalogue)
         elif self.truth[version][0] != digest:
-            raise Broken(f"fork: {machine.name} holds another version {version}")
+            raise GuaranteeViolated(f"fork: {machine.name} holds another version {version}")
 
     def note_version(self, version: int, digest: bytes, catalogue: Catalogue) -> None:
         """Records a version that is new to all stores."""
         if version != max(self.truth) + 1:
-            raise Broken(f"version {version} follows {max(self.truth)}")
+            raise GuaranteeViolated(f"version {version} follows {max(self.truth)}")
         self.truth[version] = digest, dict(catalogue.scope_hash_sums)
         self.committed_at[version] = self.at
         self.note_tenants(catalogue)
         for call in map(tuple, self.proposals.get((version, digest), ())):
             first = self.call_versions.setdefault(call, version)
             if first != version:
-                raise Broken(f"call {call} is in version {first} and again in {version}")
+                raise GuaranteeViolated(f"call {call} is in version {first} and again in {version}")
 
     def note_tenants(self, catalogue: Catalogue) -> None:
         """Records the bodies that tenants have from now on."""
@@ -697,10 +697,10 @@
     def verify_version(self, node: Node, version: int) -> None:
         """Verifies that a node acts on committed versions and never goes back."""
         if version < node.highest_version:
-            raise Broken(f"{node.name} went back from version {node.highest_version} to {version}")
+            raise GuaranteeViolated(f"{node.name} went back from version {node.highest_version} to {version}")
         node.highest_version = version
         if version not in self.truth:
-            raise Broken(f"{node.name} acts on version {version}, which does not count")
+            raise GuaranteeViolated(f"{node.name} acts on version {version}, which does not count")
         self.acted_at.setdefault(version, {}).setdefault(node.name, self.at)
 
     def verify_settled(self) -> None:
@@ -714,15 +714,15 @@
         versions = {subscriber.version for subscriber in able}
         if not leader or versions != {latest} or len(able) < len(self.nodes):
             state = f"leader {leader!r}, {len(able)} nodes, {sorted(versions)} of {latest}"
-            raise Broken(f"no recovery after the faults: {state}")
+            raise GuaranteeViolated(f"no recovery after the faults: {state}")
         names = next(iter(self.machines.values())).store.catalogue.tenants
         for subscriber in able:
             at, tenants = subscriber.connection.heartbeat_at, subscriber.tenants
             refused = [name for name in names if not tenants.look_up(at, name).may_exist]
             if refused:
-                raise Broken(f"{subscriber.name} refuses {' '.join(refused)}")
+                raise GuaranteeViolated(f"{subscriber.name} refuses {' '.join(refused)}")
         if latest < self.in_force:
-            raise Broken(f"version {self.in_force} was acknowledged, {latest} is left")
+            raise GuaranteeViolated(f"version {self.in_force} was acknowledged, {latest} is left")
 
     def max_stale_time(self) -> float:
         """Returns for how long, in true time, a node may act on a replaced version."""
@@ -739,16 +739,18 @@
             return
         version = subscriber.version
         if version < self.in_force:
-            raise Broken(f"{node.name} may act on {version}, {self.in_force} was said to be in force")
+            raise GuaranteeViolated(
+                f"{node.name} may act on {version}, {self.in_force} was said to be in force"
+            )
         sums = self.truth[version][1]
         if subscriber.digest() != digest_bytes(sum(sums.get(scope, 0) for scope in subscriber.scopes)):
-            raise Broken(f"fork: {node.name} acts on another version {version}")
+            raise GuaranteeViolated(f"fork: {node.name} acts on another version {version}")
         replaced_at = self.committed_at.get(version + 1)
         if replaced_at is not None:
             self.worst_age = max(self.worst_age, self.at - replaced_at)
             if self.at - replaced_at > self.max_stale_time():
                 age = (self.at - replaced_at) / 10_000
-                raise Broken(f"{node.name} may act on {version}, replaced {age:.2f} s ago")
+                raise GuaranteeViolated(f"{node.name} may act on {version}, replaced {age:.2f} s ago")
         for name, cached in subscriber.tenants.cached.items():
             self.verify_tenant(node, name, cached.body)
 
@@ -760,9 +762,9 @@
         message = f"{node.name} goes by an old part of tenant {name}"
         ended = [end for (_, earlier), (end, _) in pairwise(history) if earlier == body]
         if not ended or self.at - max(ended) > self.max_stale_time():
-            raise Broken(message)
+            raise GuaranteeViolated(message)
         if max(ended) <= self.committed_at[self.in_force]:
-            raise Broken(f"{message}, {self.in_force} was said to be in force")
+            raise GuaranteeViolated(f"{message}, {self.in_force} was said to be in force")
 
 
 def tenant(name: str, quota: float, on: bool = True) -> Entry:
--- a/basalthoist/emulator/distribution_faults.py
+++ b/basalthoist/emulator/distribution_faults.py
@@ -10,7 +10,7 @@
 from basalthoist.fleet.bounds import Bounds as FleetBounds
 
 from .distributed import Distributed, Node, SimulatedProcess, route, tenant
-from .replicas import Broken
+from .replicas import GuaranteeViolated
 
 # Short times, so that a run covers many events; clocks drift by up to 10%.
 REGISTER_BOUNDS = FleetBounds(
@@ -52,7 +52,10 @@
         self.last_call = 0
 
     def run(self) -> None:
-        """Injects all faults. Raises Broken if a guarantee is violated or the world does not recover soon."""
+        """Injects all faults.
+
+        Raises GuaranteeViolated if a guarantee is violated or the world does not recover soon.
+        """
         world, rng = self.world, self.rng
         usual_delay = world.delay
         names, gap_mean = [*world.by_name], self.gap * world.bounds.lease
@@ -81,10 +84,10 @@
         return name
 
     def settle(self, usual_delay: DelayRange) -> None:
-        """Ends all faults. Raises Broken if the world does not recover soon."""
+        """Ends all faults. Raises GuaranteeViolated if the world does not recover soon."""
         world = self.world
         world.delay = usual_delay
-        world.mend()
+        world.end_separations()
         for name, process in world.by_name.items():
             if not process.alive:
                 world.restart(name)
@@ -121,7 +124,7 @@
                 world.later(duration, (world.wake, name))
             case "region" if len(world.regions) > 1:
                 world.separated_regions.add(frozenset(self.rng.sample(world.regions, 2)))
-                world.later(duration, (world.mend,))
+                world.later(duration, (world.end_separations,))
             case "alone":
                 world.isolate(name)
                 world.later(duration, (world.rejoin, name))
@@ -197,7 +200,7 @@
 def run_random_faults(
     seed: int, faults: int, gap: float = 0.0, make: dict[str, type] | None = None
 ) -> DistributionFaultInjector:
-    """Runs random faults on a new world and returns the injector. Raises Broken."""
+    """Runs random faults on a new world and returns the injector. Raises GuaranteeViolated."""
     world = Distributed(12, (3, 5)[seed % 2], 2, seed, SHORT_BOUNDS, REGISTER_BOUNDS, make=make)
     for number, node in enumerate(world.nodes.values()):
         node.looked_up = [f"t{number % TENANTS}", f"t{(number + 5) % TENANTS}"]
@@ -207,12 +210,12 @@
 
 
 def main(first: int, last: int, faults: int = 25) -> int:
-    """Runs the seeds and prints a summary; returns 1 if a run raised Broken, else 0."""
+    """Runs the seeds and prints a summary; returns 1 if a run raised GuaranteeViolated, else 0."""
     broken, versions = 0, 0
     for seed in range(first, last):
         try:
             versions += max(run_random_faults(seed, faults).world.truth)
-        except Broken as error:
+        except GuaranteeViolated as error:
             broken += 1
             print(f"seed {seed}: {error}", flush=True)
     count = last - first
--- a/basalthoist/emulator/explore.py
+++ b/basalthoist/emulator/explore.py
@@ -17,7 +17,7 @@
 from basalthoist.fleet.verdicts import Verdict
 from basalthoist.fleet.wire import Message
 
-from .replicas import Broken, ReplicaNode, Replicas
+from .replicas import GuaranteeViolated, ReplicaNode, Replicas
 
 SMALL = Bounds(
     lease=10_000, heartbeat_interval=4_000, fresh=8_000, stale=12_000, drift=0.1, call_timeout=40_000
@@ -133,7 +133,7 @@
     """Visits all states that up to `max_choices` choices and `max_rounds` rounds lead to, in any order.
 
     Returns the number of states, and whether all were visited, as `max_states` was not reached.
-    Raises Broken, with the steps that lead there, if a state violates a guarantee.
+    Raises GuaranteeViolated, with the steps that lead there, if a state violates a guarantee.
     """
     seen: dict[bytes, set[tuple[int, int]]] = {}
     waiting, count = deque([(start, (), 0, 0)]), 0
@@ -147,8 +147,8 @@
             fleet = pickle.loads(state)
             try:
                 fleet.step(*choice)
-            except Broken as error:
-                raise Broken(f"{error}; steps: {[*path, choice]}") from None
+            except GuaranteeViolated as error:
+                raise GuaranteeViolated(f"{error}; steps: {[*path, choice]}") from None
             snapshot = fleet.snapshot()
             before = seen.setdefault(blake2b(snapshot, digest_size=12).digest(), set())
             if any(one[0] <= spent[0] and one[1] <= spent[1] for one in before):
--- a/basalthoist/emulator/ramp.py
+++ b/basalthoist/emulator/ramp.py
@@ -54,7 +54,7 @@
         return self.sent / (self.allowed + self.tolerance)
 
 
-def judge(
+def find_worst(
     arrivals: list[Arrival], started: int, terms: Backends, warm_rate: float, include_excused=False
 ) -> Worst:
     """Finds the worst instant among the arrivals of the warm-up.
@@ -178,7 +178,7 @@
         super().deliver_update(node, entries)
 
     def worst(self, include_excused: bool = False) -> Worst:
-        """Returns the worst instant of all backends that started cold, see `judge`."""
+        """Returns the worst instant of all backends that started cold, see `find_worst`."""
         terms = msgspec.structs.replace(self.scenario.backends, fall_multiple=self.case.multiple)
         mean, found = 10 * self.scenario.routes[0].service_ms, []
         for server in self.cold:
@@ -191,7 +191,7 @@
                 for at, ident, work in server.arrived
             ]
             warm_rate = server.kind.slots * server.kind.speed * SECOND / mean
-            found.append(judge(arrivals, server.started, terms, warm_rate, include_excused))
+            found.append(find_worst(arrivals, server.started, terms, warm_rate, include_excused))
         return max(found, key=lambda worst: worst.part)
 
 
--- a/basalthoist/emulator/rate_limits.py
+++ b/basalthoist/emulator/rate_limits.py
@@ -15,7 +15,7 @@
 from basalthoist.fleet.wire import ENCODE, Envelope, Message
 
 from .membership import INCARNATION, OVERHEAD
-from .replicas import TICK, UNITS_PER_SECOND, Broken, ReplicaNode, Replicas
+from .replicas import TICK, UNITS_PER_SECOND, GuaranteeViolated, ReplicaNode, Replicas
 
 RATE_TOLERANCE = 0.01  # requests per second, for rounding
 USUAL_BOUNDS = Bounds(20_000, 2_000, 10_000, 40_000, 0.001, 60_000)
@@ -91,12 +91,12 @@
         return sum(node.holder.buckets[0].rate(node.now()) for node in running)
 
     def verify(self) -> None:
-        """Raises Broken if the total rate is over the limit."""
+        """Raises GuaranteeViolated if the total rate is over the limit."""
         super().verify()
         total = self.total_rate()
         self.highest_rate = max(self.highest_rate, total)
         if total > self.limit.rate + RATE_TOLERANCE:
-            raise Broken(f"nodes may use {total:.2f}/s of {self.limit.rate:.2f}/s together")
+            raise GuaranteeViolated(f"nodes may use {total:.2f}/s of {self.limit.rate:.2f}/s together")
 
     def windows(self, lengths: tuple[float, ...] = WINDOWS) -> list[WindowCount]:
         """Returns the most requests admitted within one window, for each length in seconds."""
--- a/basalthoist/emulator/replica_faults.py
+++ b/basalthoist/emulator/replica_faults.py
@@ -4,7 +4,7 @@
 
 from basalthoist.fleet.verdicts import BAN, Verdict
 
-from .replicas import UNITS_PER_SECOND, Broken, Replicas
+from .replicas import UNITS_PER_SECOND, GuaranteeViolated, Replicas
 
 KINDS = "kill", "lose", "freeze", "freeze", "split", "one way", "call", "call", "call", "slow"
 LEADER_PROBABILITY = 0.4  # of a fault at the leader, which is more than its share of the nodes
@@ -22,7 +22,10 @@
         self.history: list[str] = []
 
     def run(self) -> None:
-        """Injects all faults. Raises Broken if a guarantee is violated or the fleet does not recover soon."""
+        """Injects all faults.
+
+        Raises GuaranteeViolated if a guarantee is violated or the fleet does not recover soon.
+        """
         fleet = self.fleet
         usual = fleet.loss, fleet.duplication, fleet.delay
         for _ in range(self.faults):
@@ -54,14 +57,17 @@
                 self.fleet.wake(name)
 
     def verify_recovery(self) -> None:
-        """Raises Broken unless a leader exists and all nodes apply one version, the acknowledged or later."""
+        """Raises GuaranteeViolated without a leader, or if the nodes do not all apply one version.
+
+        That version has to be the acknowledged one or a later one.
+        """
         fleet = self.fleet
         versions = {node.replica.sets.applied.version for node in fleet.replica_nodes.values()}
         if not fleet.leader() or len(versions) > 1:
             found = f"leader {fleet.leader()!r}, versions {sorted(versions)}"
-            raise Broken(f"no recovery after the faults: {found}")
+            raise GuaranteeViolated(f"no recovery after the faults: {found}")
         if max(versions) < fleet.acknowledged:
-            raise Broken(f"version {fleet.acknowledged} was acknowledged, {max(versions)} is left")
+            raise GuaranteeViolated(f"version {fleet.acknowledged} was acknowledged, {max(versions)} is left")
 
     def inject(self, kind: str, name: str, duration: int, usual_delay: tuple[int, int]) -> None:
         """Injects a fault at a node or, for kinds that concern no single node, on the links."""
--- a/basalthoist/emulator/replicas.py
+++ b/basalthoist/emulator/replicas.py
@@ -23,7 +23,7 @@
 Incarnations = tuple[int, int]  # of a message's sender, of its recipient
 
 
-class Broken(AssertionError):
+class GuaranteeViolated(AssertionError):
     """A guarantee of docs/fleet.md or docs/distribution.md was violated."""
 
 
@@ -270,13 +270,13 @@
         """Verifies that all nodes apply the same versions in the same order."""
         version = verdicts.version
         if self.contents.setdefault(version, verdicts.data) != verdicts.data:
-            raise Broken(f"fork: {node.name} acts on another version {version}")
+            raise GuaranteeViolated(f"fork: {node.name} acts on another version {version}")
         if version < node.highest_applied:
-            raise Broken(f"{node.name} went back from version {node.highest_applied} to {version}")
+            raise GuaranteeViolated(f"{node.name} went back from version {node.highest_applied} to {version}")
         if version not in self.first_applied:
             latest = max(self.first_applied, default=0)
             if version != latest + 1 and version:
-                raise Broken(f"version {version} follows {latest}")
+                raise GuaranteeViolated(f"version {version} follows {latest}")
             self.first_applied[version] = self.at
         node.highest_applied = version
 
@@ -285,7 +285,7 @@
         self.acknowledged = max(self.acknowledged, version)
 
     def verify(self) -> None:
-        """Raises Broken if two nodes lead, or a node may act on an outdated view."""
+        """Raises GuaranteeViolated if two nodes lead, or a node may act on an outdated view."""
         leading: list[str] = []
         for node in self.replica_nodes.values():
             if node.replica is None:
@@ -296,13 +296,15 @@
             if self.bounds.strict and node.replica.may_forward_requests(now):
                 self.verify_view(node)
         if len(leading) > 1:
-            raise Broken(f"{' and '.join(leading)} lead at once")
+            raise GuaranteeViolated(f"{' and '.join(leading)} lead at once")
 
     def verify_view(self, node: ReplicaNode) -> None:
-        """Raises Broken if the node may act on a view older than the acknowledged version or too stale."""
+        """Raises GuaranteeViolated if the node may act on a stale view or one older than was acknowledged."""
         version = node.replica.sets.applied.version
         if version < self.acknowledged:
-            raise Broken(f"{node.name} may act on {version}, {self.acknowledged} was said to be in force")
+            raise GuaranteeViolated(
+                f"{node.name} may act on {version}, {self.acknowledged} was said to be in force"
+            )
         replaced_at = self.first_applied.get(version + 1)
         if replaced_at is None:
             return
@@ -310,4 +312,4 @@
         max_age = self.bounds.stale / (1 - self.bounds.drift) + 2
         if self.at - replaced_at > max_age:
             age = (self.at - replaced_at) / UNITS_PER_SECOND
-            raise Broken(f"{node.name} may act on {version}, replaced {age:.2f} s ago")
+            raise GuaranteeViolated(f"{node.name} may act on {version}, replaced {age:.2f} s ago")
--- a/basalthoist/experiments/cold_start.py
+++ b/basalthoist/experiments/cold_start.py
@@ -18,7 +18,16 @@
 
 from basalthoist.addresses import address_of
 from basalthoist.emulator.events import SECOND
-from basalthoist.emulator.ramp import LIST_UPDATES, LOAD_KNOWLEDGE, START_S, Arrival, Case, Worst, judge, play
+from basalthoist.emulator.ramp import (
+    LIST_UPDATES,
+    LOAD_KNOWLEDGE,
+    START_S,
+    Arrival,
+    Case,
+    Worst,
+    find_worst,
+    play,
+)
 
 from .loopback import (
     Clients,
@@ -190,7 +199,7 @@
         arrivals = [Arrival(int(at * SECOND), work / mean, self.announced_at.get(node, at) < at)
                     for at, node, work in self.cold.arrived]  # fmt: skip
         warm_rate = self.cold.kind.slots * SECOND / mean
-        return judge(arrivals, int(self.cold.started * SECOND), self.terms, warm_rate, include_excused)
+        return find_worst(arrivals, int(self.cold.started * SECOND), self.terms, warm_rate, include_excused)
 
 
 def on_loopback(kind: str, case: Case, seed: int) -> list:
--- a/basalthoist/fleet/handshakes.py
+++ b/basalthoist/fleet/handshakes.py
@@ -20,7 +20,7 @@
     """What the node does with a received envelope."""
 
     accepted: bool  # whether to deliver the message: both incarnations in the envelope are current
-    unknown: bool  # whether the sender's incarnation has not completed a handshake
+    needs_handshake: bool  # whether the sender's incarnation has not completed a handshake
     reply: Message | None  # a message to send back at once
 
 
--- a/basalthoist/net/control/distribution.py
+++ b/basalthoist/net/control/distribution.py
@@ -31,7 +31,7 @@
 from basalthoist.net.runtime.disk_worker import DiskWorker, TaskError
 from basalthoist.net.runtime.log import Log
 from basalthoist.net.runtime.timers import SECOND, Timers, boot_time_now
-from basalthoist.settings_codec import tenths
+from basalthoist.settings_codec import to_tenths_of_ms
 
 TICK = SECOND // 10
 SAVE_INTERVAL = SECOND
@@ -279,9 +279,9 @@
             body = msgspec.convert(entry.body, RouteBody)
             if body.overall_timeout:
                 overall_timeout_us = body.overall_timeout
-                timeout = tenths(body.overall_timeout)
+                timeout = to_tenths_of_ms(body.overall_timeout)
                 objective = min(objective, timeout)
-            objective, value = tenths(body.latency_objective) or objective, body.value
+            objective, value = to_tenths_of_ms(body.latency_objective) or objective, body.value
         configured.record.overall_timeout = overall_timeout_us
         self.front_end.longest_timeout = max(self.front_end.longest_timeout, timeout)
         self.dispatcher.on_route(configured.number, objective, timeout, value)
--- a/basalthoist/net/control/replica_socket.py
+++ b/basalthoist/net/control/replica_socket.py
@@ -90,7 +90,7 @@
         receipt = self.handshakes.receive(envelope)
         if receipt.reply is not None:
             self.post(name, envelope.incarnation, receipt.reply)
-        if receipt.unknown:
+        if receipt.needs_handshake:
             self.request_handshake(at, name, envelope.incarnation)
         if self.handshakes.incarnations.get(name) != known:
             self.log(f"fleet: {name} has {'started again' if known else 'answered the handshake'}")
--- a/basalthoist/settings_codec.py
+++ b/basalthoist/settings_codec.py
@@ -15,7 +15,7 @@
 MICROSECONDS_PER_TENTH = 100  # per tenth of a millisecond
 
 
-def tenths(micros: int) -> int:
+def to_tenths_of_ms(micros: int) -> int:
     """Converts microseconds to tenths of a millisecond, rounded down, but a positive time to at least 1."""
     return max(1, micros // MICROSECONDS_PER_TENTH) if micros > 0 else 0
 
@@ -80,5 +80,5 @@
     if last == "fields":
         value = [LOAD_REPORT_FIELDS.get(field, field) for field in value]
     elif last in DURATION_KEYS:
-        value = tenths(int(value))
+        value = to_tenths_of_ms(int(value))
     return ".".join(parts), value
--- a/basalthoist/simulator/adapter.py
+++ b/basalthoist/simulator/adapter.py
@@ -6,7 +6,7 @@
 from basalthoist.decisions.balancer import Balancer
 from basalthoist.decisions.interface import GossipKind, LoadReport, Outcome
 from basalthoist.gossip_codec import decode, encode
-from basalthoist.settings_codec import parse_pairs, tenths
+from basalthoist.settings_codec import parse_pairs, to_tenths_of_ms
 
 from .codec import Reader, WireError
 
@@ -73,15 +73,23 @@
             _, _, txn, route, customer, _, grace, _, flags = parts
             again = flags != "-" and bool(int(flags) & 2)
             tenant_number = 0 if customer == "-" else int(customer)
-            balancer.on_request(now, int(txn), int(route), tenant_number, tenths(int(grace)), again)
+            balancer.on_request(now, int(txn), int(route), tenant_number, to_tenths_of_ms(int(grace)), again)
         elif name == "ATTEMPT_END":
             _, _, txn, copy, _, outcome, rtt, over, row = parts
             balancer.on_attempt_ended(
-                now, int(txn), int(copy), OUTCOMES[outcome], tenths(int(rtt)), over == "1", self.load(row)
+                now,
+                int(txn),
+                int(copy),
+                OUTCOMES[outcome],
+                to_tenths_of_ms(int(rtt)),
+                over == "1",
+                self.load(row),
             )
         elif name == "PROBED":
             _, _, backend, outcome, rtt, row = parts
-            balancer.on_health_check_ended(now, backend, OUTCOMES[outcome], tenths(int(rtt)), self.load(row))
+            balancer.on_health_check_ended(
+                now, backend, OUTCOMES[outcome], to_tenths_of_ms(int(rtt)), self.load(row)
+            )
         elif name == "MESSAGE":
             try:
                 messages = decode(b64decode("" if parts[3] == "-" else parts[3]))
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -8,7 +8,7 @@
 from basalthoist.commands.cli import main
 from basalthoist.decisions.balancer import Balancer
 from basalthoist.emulator import ramp
-from basalthoist.emulator.ramp import LOAD_KNOWLEDGE, Arrival, Case, Ramp, Worst, judge, play
+from basalthoist.emulator.ramp import LOAD_KNOWLEDGE, Arrival, Case, Ramp, Worst, find_worst, play
 from basalthoist.emulator.scenario import Backends
 from basalthoist.experiments import cold_start
 from basalthoist.experiments.cold_start import TIGHT, Loopback
@@ -23,7 +23,7 @@
 
 
 def worst_of(found, **more):
-    return judge(found, 0, TERMS, 20.0, **more)
+    return find_worst(found, 0, TERMS, 20.0, **more)
 
 
 def test_work_within_window_is_compared_with_n_at_that_time():
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -36,7 +36,7 @@
     DistributionFaultInjector,
     run_random_faults,
 )
-from basalthoist.emulator.replicas import Broken
+from basalthoist.emulator.replicas import GuaranteeViolated
 
 LEASE = REGISTER_BOUNDS.lease
 
@@ -69,7 +69,7 @@
         world.run(world.at + gap)
 
 
-# Scenarios. Each raises Broken if a guarantee is violated.
+# Scenarios. Each raises GuaranteeViolated if a guarantee is violated.
 
 
 def leader_region_cut_off(seed, make=None):
@@ -81,7 +81,7 @@
     other = next(name for name in world.voters if world.by_name[name].region != away)
     make_calls(world, (other, author), 10, 60, 1_000)
     assert make or max(world.truth) > 5
-    world.mend()
+    world.end_separations()
     world.run(world.at + 6 * LEASE)
     world.verify_settled()
 
@@ -93,7 +93,7 @@
     world.separated_pairs = {frozenset((author, machine.name)) for machine in world.machines.values()}
     other = next(name for name in world.voters if name != author)
     make_calls(world, other, 10, 60, 1_000)
-    world.mend()
+    world.end_separations()
     world.run(world.at + 6 * LEASE)
     world.verify_settled()
 
@@ -118,7 +118,7 @@
     for name in ("r1", "r2"):
         world.separated_pairs |= {frozenset((name, machine.name)) for machine in world.machines.values()}
     make_calls(world, "r0", 10, 40, 1_000)
-    world.mend()
+    world.end_separations()
     world.run(world.at + 4 * LEASE)
     world.verify_settled()
 
@@ -198,7 +198,7 @@
             if connection.ends[0] in world.nodes.values():
                 connection.break_off()
         world.run(world.at + LEASE)
-        world.mend()
+        world.end_separations()
     world.delay = 2, 30
     world.run(world.at + 6 * LEASE)
     world.verify_settled()
@@ -434,7 +434,7 @@
     for seed in range(1, 6):
         try:
             scenario(seed, make)
-        except Broken as caught:
+        except GuaranteeViolated as caught:
             assert re.search(violation, str(caught)), caught
             return
     pytest.fail("not caught")
@@ -584,7 +584,7 @@
     world.run(world.at + 8 * LEASE)
     assert all(world.answers[ident].startswith("FAILURE") for ident in range(10, 18))
     assert max(world.truth) == 1
-    world.mend()
+    world.end_separations()
     world.run(world.at + 5 * LEASE)
     world.operator_call("r0", 20, [route("x1", "s1", 20)])
     world.run(world.at + 5 * LEASE)
--- a/tests/test_handshakes.py
+++ b/tests/test_handshakes.py
@@ -20,10 +20,10 @@
 
 def test_messages_accepted_after_handshake_only(handshakes):
     receipt = handshakes.receive(from_peer(VoteReleased(3)))
-    assert not receipt.accepted and receipt.unknown and receipt.reply is None
+    assert not receipt.accepted and receipt.needs_handshake and receipt.reply is None
     nonce = handshakes.request(0, "n1").nonce
     receipt = handshakes.receive(from_peer(HandshakeReply(nonce)))
-    assert not receipt.accepted and not receipt.unknown and handshakes.incarnations == {"n1": 5}
+    assert not receipt.accepted and not receipt.needs_handshake and handshakes.incarnations == {"n1": 5}
     assert handshakes.receive(from_peer(VoteReleased(3))).accepted
     assert not handshakes.receive(from_peer(VoteReleased(3), incarnation=4)).accepted
     assert not handshakes.receive(from_peer(VoteReleased(3), recipient_incarnation=2)).accepted
--- a/tests/test_quota_leases.py
+++ b/tests/test_quota_leases.py
@@ -6,7 +6,7 @@
 
 from basalthoist.emulator.rate_limits import LimitedReplicas, fairness, measure
 from basalthoist.emulator.replica_faults import FaultInjector
-from basalthoist.emulator.replicas import Broken
+from basalthoist.emulator.replicas import GuaranteeViolated
 from basalthoist.fleet import leader
 from basalthoist.fleet.bounds import Bounds
 from basalthoist.fleet.quota_leases import Bucket, Limit, QuotaLeaseGranter, QuotaLeaseHolder, max_min
@@ -35,7 +35,7 @@
 def moving_traffic(fleet, steps=12, faults=0):
     """Moves the traffic between nodes at random, with random faults.
 
-    Raises Broken if more requests were admitted in a window than the limit allows.
+    Raises GuaranteeViolated if more requests were admitted in a window than the limit allows.
     """
     injector = FaultInjector(fleet, 0)
     kinds = "kill", "freeze", "freeze", "split", "one way", "slow"
@@ -49,7 +49,7 @@
         fleet.run(fleet.at + int(fleet.rng.uniform(0.5, 2.0) * fleet.bounds.lease))
     for window, most, allowed in fleet.windows():
         if most > allowed:
-            raise Broken(f"{most} requests admitted in {window} s, at most {allowed:.1f} allowed")
+            raise GuaranteeViolated(f"{most} requests admitted in {window} s, at most {allowed:.1f} allowed")
 
 
 @pytest.mark.parametrize("first", range(0, 12, 3))
@@ -179,7 +179,7 @@
     for seed in range(20):
         try:
             scenario(make_fleet(seed, bounds=bounds, make=make))
-        except Broken:
+        except GuaranteeViolated:
             return
     pytest.fail("no check failed for the faulty variant")
 
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -11,7 +11,7 @@
 from basalthoist.decisions.random_numbers import Lcg
 from basalthoist.emulator.explore import explore, led
 from basalthoist.emulator.replica_faults import FaultInjector
-from basalthoist.emulator.replicas import Broken, Replicas
+from basalthoist.emulator.replicas import GuaranteeViolated, Replicas
 from basalthoist.fleet import lease, replica
 from basalthoist.fleet.bounds import DISTANT_PAST, Bounds
 from basalthoist.fleet.leader import Leader
@@ -63,7 +63,7 @@
     variant = globals()[name]
     if patched:
         monkeypatch.setattr(replica, patched, variant)
-    with pytest.raises(Broken, match="steps: "):
+    with pytest.raises(GuaranteeViolated, match="steps: "):
         explore(led(3, Replica if patched else variant), 2, 4)
 
 
@@ -366,7 +366,7 @@
     for seed in range(seeds):
         try:
             scenario(seed, bounds, make)
-        except Broken:
+        except GuaranteeViolated:
             return
     pytest.fail("no check failed for the faulty variant")
 
--- a/tests/test_simulator_codec.py
+++ b/tests/test_simulator_codec.py
@@ -24,7 +24,7 @@
 
 @pytest.mark.parametrize(("micros", "expected"), [(0, 0), (-5, 0), (1, 1), (99, 1), (100, 1), (250, 2)])
 def test_durations_are_rounded_down_but_stay_positive(micros, expected):
-    assert adapter.tenths(micros) == expected
+    assert adapter.to_tenths_of_ms(micros) == expected
 
 
 def test_list_number_refers_to_the_last_list_before_it():
