--- a/basalthoist/emulator/backends.py
+++ b/basalthoist/emulator/backends.py
@@ -37,7 +37,7 @@
             on_overload_crash,
         )
         self.alive, self.draining, self.frozen, self.listed = True, False, False, True
-        self.slowdown, self.success_rate = 1.0, 1.0  # factor on service times; success probability
+        self.slowdown, self.success_rate = 1.0, 1.0  # factor on service times, probability of success
         self.started: int | None = None
         self.incarnation = 0  # events of an earlier incarnation are ignored
         self.running: set[Job] = set()
@@ -66,7 +66,7 @@
         return min(self.settings.cold_from + (1.0 - self.settings.cold_from) * max(age, 0.0), 1.0)
 
     def capacity(self) -> float:
-        """Returns the work that it can do per second, in seconds of work."""
+        """Returns the seconds of work that the backend can do per second."""
         return self.kind.slots * self.kind.speed * self.warmth() / self.slowdown
 
     def time_for(self, work: float) -> float:
@@ -81,7 +81,7 @@
     # Requests and faults.
 
     def offer(self, job: Job) -> None:
-        """Takes a complete request. A frozen backend does not start it, but queues it."""
+        """Starts, queues or rejects a complete request. A frozen backend starts none."""
         if self.overloads(job.work):
             return
         if self.draining or len(self.waiting) >= self.kind.queue and len(self.running) >= self.kind.slots:
@@ -141,7 +141,7 @@
             self.start_queued()
 
     def crash(self) -> None:
-        """Ends the process: open connections are reset, new ones refused."""
+        """Ends the backend's process: its open requests are reset, and new connections are refused."""
         self.alive, self.frozen, self.incarnation = False, False, self.incarnation + 1
         jobs = sorted(self.running, key=lambda job: job.ident) + list(self.waiting)
         self.running.clear()
@@ -160,8 +160,8 @@
     def overloads(self, work: float) -> bool:
         """Records arriving work; returns True if this crashes the backend.
 
-        While it is warming up, it crashes when the work that arrives within `fall_s` exceeds
-        `fall_multiple` times its current capacity.
+        A backend that is warming up crashes when the work that arrives within `fall_s` exceeds
+        `fall_multiple` times its current capacity, plus four times this work as slack for random bursts.
         """
         multiple, window = self.settings.fall_multiple, int(self.settings.fall_s * SECOND)
         if not multiple or self.warmth() >= 1.0:
@@ -169,9 +169,7 @@
         self.recent_arrivals.append((self.events.now, work / SECOND))
         while self.recent_arrivals[0][0] <= self.events.now - window:
             self.recent_arrivals.popleft()
-        allowed = (
-            multiple * self.capacity() * self.settings.fall_s + 4 * work / SECOND
-        )  # slack for random bursts
+        allowed = multiple * self.capacity() * self.settings.fall_s + 4 * work / SECOND
         if sum(seconds for _, seconds in self.recent_arrivals) <= allowed:
             return False
         self.on_overload_crash(self)
--- a/basalthoist/emulator/rate_limits.py
+++ b/basalthoist/emulator/rate_limits.py
@@ -67,7 +67,7 @@
             self.arrive(node)
 
     def wake(self, name: str) -> None:
-        """Ends a freeze. Queued requests are decided before the node processes timers or messages."""
+        """Ends a freeze. The node admits or rejects queued requests before it handles timers or messages."""
         node = self.replica_nodes[name]
         if node.frozen:
             node.frozen = False
@@ -76,7 +76,7 @@
         super().wake(name)
 
     def arrive(self, node: ReplicaNode) -> None:
-        """Decides on the queued requests, as if they had arrived evenly since the last decision."""
+        """Admits or rejects the queued requests, as if they had arrived evenly over the last tick."""
         bucket, now = node.holder.buckets[0], node.now()
         count = int(self.waiting.get(node.name, 0.0))
         self.waiting[node.name] = self.waiting.get(node.name, 0.0) - count
@@ -111,12 +111,12 @@
         ]
 
     def admitted_rate(self, since: int, until: int) -> float:
-        """Returns the mean number of requests admitted per second."""
+        """Returns the mean number of requests admitted per second between two true times."""
         return sum(since <= at < until for at in self.admitted) / (until - since) * UNITS_PER_SECOND
 
 
 def fairness(shares: list[float]) -> float:
-    """Returns Jain's index: 1 if all shares are equal, 1 / n if one has all (Jain, Chiu and Hawe 1984)."""
+    """Returns Jain's index (Jain, Chiu and Hawe 1984): 1 for n equal shares, 1 / n if one has all."""
     squares = sum(share * share for share in shares)
     return sum(shares) ** 2 / (len(shares) * squares) if squares else 1.0
 
@@ -150,8 +150,8 @@
 def measure(count: int, seed: int = 1, per_node: float = 10.0) -> dict[str, float | None]:
     """Runs a fleet with twice the load of its limit, then moves all load to one node in nine.
 
-    Returns fairness under equal load, bytes sent per second, and the seconds until 95% of the limit is used
-    again.
+    Returns the figures by name: fairness and the smallest share under equal load, bytes sent per second, the
+    seconds until 95% of the limit is used again, and the highest total rate as a fraction of the limit.
     """
     limit = Limit("any", per_node * count / 2, 4.0 * count)
     fleet = LargeFleet(count, 5, seed, USUAL_BOUNDS, limit)
--- a/basalthoist/emulator/replicas.py
+++ b/basalthoist/emulator/replicas.py
@@ -20,7 +20,7 @@
 BACKENDS_PER_NODE = 12
 MESSAGE = "message"
 
-Incarnations = tuple[int, int]  # of a message's sender, of its recipient
+Incarnations = tuple[int, int]  # of a message's sender and of its recipient
 
 
 class GuaranteeViolated(AssertionError):
@@ -51,7 +51,7 @@
         self.incarnation += 1
         hint = self.hint if keeps else None
         rng = Lcg(fleet.rng.getrandbits(60))
-        self.known_incarnations: dict[str, int] = {}  # of other nodes, as last seen by this one
+        self.known_incarnations: dict[str, int] = {}  # of the other nodes, as this one knows them
         self.highest_applied: int = -1
         now = self.now()
         self.holder: QuotaLeaseHolder | None = None
@@ -95,7 +95,7 @@
 
 
 class Replicas:
-    """A fleet of `count` nodes, the first `voters` of which vote. `make`: the class of replicas."""
+    """A fleet of `count` nodes, the first `voters` of which vote. `make` creates a node's replica."""
 
     make_holder: type = QuotaLeaseHolder
 
@@ -123,15 +123,15 @@
         self.voters: list[str] = self.names[:voters]
         self.events: list[tuple[int, int, tuple]] = []
         self.seq: int = 0
-        self.cut: set[tuple[str, str]] = set()  # links that drop all messages: source, target
+        self.cut: set[tuple[str, str]] = set()  # (source, target) of each link that drops all messages
         self.lines: list[str] = []
         self.answers: dict[int, str] = {}
-        self.outliers: dict[str, set[str]] = {}  # detected by each node
-        self.contents: dict[int, bytes] = {}  # of each version that a node has applied
-        self.first_applied: dict[int, int] = {}  # true time by version
+        self.outliers: dict[str, set[str]] = {}  # the outliers that each node has detected
+        self.contents: dict[int, bytes] = {}  # the encoded set of each version that a node has applied
+        self.first_applied: dict[int, int] = {}  # the true time at which a node first applied each version
         self.acknowledged: int = 0  # the highest version reported to an operator as in force
         self.sent_messages: int = 0
-        self.worst_age: int = 0
+        self.worst_age: int = 0  # the longest time that a node could act on a replaced version
         rates = 1 - bounds.drift, 1.0, 1 + bounds.drift
         self.replica_nodes: dict[str, ReplicaNode] = {
             name: ReplicaNode(self, name, self.rng.choice(rates)) for name in self.names
@@ -267,7 +267,7 @@
         return ""
 
     def on_applied(self, node: ReplicaNode, verdicts: VerdictSet) -> None:
-        """Verifies that all nodes apply the same versions in the same order."""
+        """Raises GuaranteeViolated unless all nodes apply the same versions in the same order."""
         version = verdicts.version
         if self.contents.setdefault(version, verdicts.data) != verdicts.data:
             raise GuaranteeViolated(f"fork: {node.name} acts on another version {version}")
@@ -285,7 +285,7 @@
         self.acknowledged = max(self.acknowledged, version)
 
     def verify(self) -> None:
-        """Raises GuaranteeViolated if two nodes lead, or a node may act on an outdated view."""
+        """Raises GuaranteeViolated if two nodes lead at once or a node may act on an outdated version."""
         leading: list[str] = []
         for node in self.replica_nodes.values():
             if node.replica is None:
@@ -299,7 +299,10 @@
             raise GuaranteeViolated(f"{' and '.join(leading)} lead at once")
 
     def verify_view(self, node: ReplicaNode) -> None:
-        """Raises GuaranteeViolated if the node may act on a stale view or one older than was acknowledged."""
+        """Raises GuaranteeViolated if the node may act on a version that is too old.
+
+        That is a version older than the acknowledged one, or one replaced longer ago than the bounds allow.
+        """
         version = node.replica.sets.applied.version
         if version < self.acknowledged:
             raise GuaranteeViolated(
--- a/basalthoist/emulator/scenario.py
+++ b/basalthoist/emulator/scenario.py
@@ -38,14 +38,14 @@
     count: Count = 12
     kinds: tuple[Kind, ...] = (Kind(),)
     pod_size: Count = 4
-    cold_from: Annotated[float, msgspec.Meta(gt=0, le=1)] = 0.3
-    warm_s: NonNegative = 8.0
-    crowded_at: NonNegative = 0.0  # requests in flight per slot above which it slows down; 0: never
+    cold_from: Annotated[float, msgspec.Meta(gt=0, le=1)] = 0.3  # fraction of the full speed at the start
+    warm_s: NonNegative = 8.0  # from the start to full speed
+    crowded_at: NonNegative = 0.0  # requests in flight per slot above which the backend slows down; 0: never
     crowded_factor: Annotated[float, msgspec.Meta(ge=1)] = 1.0
     fall_multiple: Annotated[float, msgspec.Meta(ge=0)] = 3.0  # 0: warming backends never crash
-    fall_s: Positive = 2.0
+    fall_s: Positive = 2.0  # window over which arriving work is summed up
     reports: bool = True
-    work_left_on_cancel: bool = True  # a cancelled request that already runs is finished anyway
+    work_left_on_cancel: bool = True  # a running request is finished even when it is cancelled
 
 
 class Network(Strict):
@@ -109,14 +109,15 @@
 
 
 class Fault(Strict):
-    """A fault from `at_s` for `for_s` seconds on `part` of the fleet, or of `location` if it is set."""
+    """A fault that starts at `at_s`, lasts `for_s` and hits `part` of the fleet, or of `location` if set."""
 
     kind: FaultKind
     at_s: NonNegative
     for_s: Positive = 5.0
     part: Annotated[float, msgspec.Meta(gt=0, le=1)] = 0.25
     location: int | None = None
-    factor: Positive = 3.0  # slow: of service times; surge: of the rate; errors: 1/factor of requests succeed
+    # slow: multiplies service times; surge: multiplies the rate; errors: 1/factor of requests succeed
+    factor: Positive = 3.0
 
     def __post_init__(self) -> None:
         if self.kind in ("slow", "surge") and self.factor < 1:
--- a/basalthoist/emulator/search.py
+++ b/basalthoist/emulator/search.py
@@ -33,23 +33,28 @@
 
 
 def shrink(scenario: Scenario, make_policy: Callable, rules: frozenset[str]) -> Scenario:
-    """Removes faults, then shortens the remaining ones, as long as one of `rules` is still broken."""
+    """Removes faults, then shortens the remaining ones, while the scenario still breaks one of `rules`.
+
+    Returns the smallest scenario found.
+    """
 
     def still_breaks(candidate: Scenario) -> bool:
         return bool(broken_rules(candidate, make_policy) & rules)
 
-    at = 0
-    while at < len(scenario.faults):
-        fewer = msgspec.structs.replace(scenario, faults=scenario.faults[:at] + scenario.faults[at + 1 :])
+    index = 0
+    while index < len(scenario.faults):
+        fewer = msgspec.structs.replace(
+            scenario, faults=scenario.faults[:index] + scenario.faults[index + 1 :]
+        )
         if still_breaks(fewer):
             scenario = fewer
         else:
-            at += 1
-    for at, fault in enumerate(scenario.faults):
+            index += 1
+    for index, fault in enumerate(scenario.faults):
         while fault.for_s > 0.5:
             fault = msgspec.structs.replace(fault, for_s=round(fault.for_s / 2, 2))
             shorter = msgspec.structs.replace(
-                scenario, faults=(*scenario.faults[:at], fault, *scenario.faults[at + 1 :]),
+                scenario, faults=(*scenario.faults[:index], fault, *scenario.faults[index + 1 :]),
             )  # fmt: skip
             if not still_breaks(shorter):
                 break
@@ -58,7 +63,7 @@
 
 
 def search(scenario: Scenario, make_policy: Callable, days: int, seed: int, report=lambda line: None):
-    """Yields each scenario found, shrunk, with the rules that the original broke."""
+    """Draws `days` scenarios; yields each that breaks rules, shrunk, with the rules it broke before that."""
     rng = Random(seed)
     for number in range(days):
         candidate = draw(scenario, rng)
