--- a/basalthoist/experiments/scale/catalogue.py
+++ b/basalthoist/experiments/scale/catalogue.py
@@ -34,7 +34,7 @@
 
 
 class Point:
-    """A real node with a file of this size, and a hollow node with the same catalogue beside it."""
+    """A real node and a hollow node with the same catalogue: `x` entries of the kind that `of` names."""
 
     def __init__(self, bench: Bench, of: str, x: int, catalogue: files.Catalogue) -> None:
         self.bench, self.of, self.x, self.catalogue = bench, of, x, catalogue
@@ -91,8 +91,8 @@
     await asyncio.sleep(SETTLE_S)
     for point in points:
         await point.begin()
-    # The lateness of the bench decides, not that of a worker: the once-a-second tick under measurement blocks
-    # the worker's loop.
+    # The rows are void if the bench's event loop is late, not a worker's: the worker's loop is blocked by the
+    # once-a-second tick, which is part of the measurement.
     bench.lateness.begin()
     await asyncio.sleep(WINDOW_S)
     late = bench.lateness.p99_ms()
--- a/basalthoist/experiments/scale/datapath.py
+++ b/basalthoist/experiments/scale/datapath.py
@@ -108,18 +108,18 @@
         made.append(Row(NAME, f"{figure}; {run.tail()}", run.rate, value, "exchanges a second", unit, counted,
                         client_report["void"], more=more))  # fmt: skip
 
-    good = [one for one in client_report["found"] if one[0] == 200]
-    times = sorted((received - sent) / 1e6 for _, sent, received in good)
-    row("exchanges that count", len(client_report["found"]), "", answered=len(good))
-    row("not answered with 200", len(client_report["found"]) - len(good), "")
+    answered = [one for one in client_report["found"] if one[0] == 200]
+    times = sorted((received - sent) / 1e6 for _, sent, received in answered)
+    row("exchanges that count", len(client_report["found"]), "", answered=len(answered))
+    row("not answered with 200", len(client_report["found"]) - len(answered), "")
     row("the clients' lateness, 99th percentile", client_report["late_ms"], "ms")
-    for name, part in (("median", 0.5), ("99th percentile", 0.99)):
-        row(f"whole time at the client, {name}", times[int(len(times) * part)] if times else 0.0, "ms")
-    span = after["at"] - before["at"]
-    spent = after["cpu_s"] - before["cpu_s"]
-    row("part of a core", spent / span, "core", still=idle_core)
+    for name, fraction in (("median", 0.5), ("99th percentile", 0.99)):
+        row(f"whole time at the client, {name}", times[int(len(times) * fraction)] if times else 0.0, "ms")
+    span_s = after["at"] - before["at"]
+    cpu_s = after["cpu_s"] - before["cpu_s"]
+    row("part of a core", cpu_s / span_s, "core", still=idle_core)
     row("processor time an exchange, beyond a node's that nobody asks",
-        (spent - idle_core * span) / (run.rate * span) * 1e6, "us")  # fmt: skip
+        (cpu_s - idle_core * span_s) / (run.rate * span_s) * 1e6, "us")  # fmt: skip
     row("memory", after["memory_mb"], "MB")
     row("sockets open", connections, "", True)
     if trace is not None:
@@ -131,9 +131,9 @@
         row("a once-a-second round, mean", sum(rounds) / max(len(rounds), 1), "ms")
         row("a once-a-second round, longest", max(rounds, default=0.0), "ms")
         for generation in (0, 1, 2):
-            mine = [(end - begin) / 1e6 for begin, end, of in trace["pauses"] if of == generation]
-            what = f"collections of generation {generation}, longest"
-            row(what, max(mine, default=0.0), "ms", times=len(mine))
+            pauses_ms = [(end - begin) / 1e6 for begin, end, of in trace["pauses"] if of == generation]
+            figure_name = f"collections of generation {generation}, longest"
+            row(figure_name, max(pauses_ms, default=0.0), "ms", times=len(pauses_ms))
     return made
 
 
--- a/basalthoist/experiments/scale/discovered.py
+++ b/basalthoist/experiments/scale/discovered.py
@@ -1,4 +1,4 @@
-"""Layer: a node and its discovery agent. The agent serves the list, then sends changes of single backends."""
+"""Layer: a node and its discovery agent, which serves the list and then sends changes of single backends."""
 
 import asyncio
 import time
@@ -38,21 +38,22 @@
     await asyncio.sleep(1.5)
     idle = real.read()
     await asyncio.sleep(changes * CHANGE_INTERVAL_S)
-    before, messages, size = real.read(), agent.messages, 0
+    before, messages_before, change_bytes = real.read(), agent.messages, 0
     bench.lateness.begin()
     for number in range(changes):
         changed = files.member(number % backends) | {"size": 1.0 + number % 2}
-        size = max(size, agent.change([changed]))
+        change_bytes = max(change_bytes, agent.change([changed]))
         await asyncio.sleep(CHANGE_INTERVAL_S)
     after = real.read()
-    void, messages = void_reason(bench.lateness.p99_ms()), agent.messages - messages
-    rest = (before["cpu_s"] - idle["cpu_s"]) / (before["at"] - idle["at"])
-    spent = after["cpu_s"] - before["cpu_s"] - rest * (after["at"] - before["at"])
+    void, messages = void_reason(bench.lateness.p99_ms()), agent.messages - messages_before
+    idle_core = (before["cpu_s"] - idle["cpu_s"]) / (before["at"] - idle["at"])
+    cpu_s = after["cpu_s"] - before["cpu_s"] - idle_core * (after["at"] - before["at"])
     found = {
         "bytes of a whole list": (agent.list_bytes / agent.lists, "B", True),
-        "bytes of a change of one backend": (size, "B", True),
+        "bytes of a change of one backend": (change_bytes, "B", True),
+        # Excludes the heartbeats that the agent sends every 2 s.
         "messages for a change": (round((messages - changes * CHANGE_INTERVAL_S / 2) / changes), "", True),
-        "processor time of a change": (spent / changes * 1000, "ms", False),
+        "processor time of a change": (cpu_s / changes * 1000, "ms", False),
         "start to ready without a saved list": (start_s, "s", False),
     }
     return [Row(NAME, figure, backends, value, "backends", unit, counted, void)
--- a/basalthoist/experiments/scale/hollow.py
+++ b/basalthoist/experiments/scale/hollow.py
@@ -4,7 +4,7 @@
 receives no requests. Orders are lines of JSON on standard input, each answered by a line on standard output.
 The process ends with its input, so it does not outlive its parent.
 
-A role is a class with `start(order)`, `figures()` and `close()`; other layers add their own to `ROLES`.
+A role is a class with `start(order)`, `figures()` and `close()`; other layers add their classes to `ROLES`.
 """
 
 import asyncio
@@ -25,7 +25,7 @@
 
 
 class HollowNode:
-    """A node of the product. It differs from a real one only in that a process reads the fleet file once."""
+    """A node that differs from a real one only in that its process reads a fleet file once for all nodes."""
 
     fleet_documents: dict = {}
 
@@ -80,8 +80,8 @@
         return {"held": len(self.nodes)}
 
     async def begin(self, order: dict) -> dict:
-        """Starts the measurement and returns the figures. Freezes all objects first: garbage collection
-        over some hundred nodes would stop this process for longer than a single node ever stops.
+        """Starts the measurement and returns the figures. Freezes all objects first: a garbage
+        collection over hundreds of nodes would block this process for longer than one in a real node does.
         """
         gc.collect()
         gc.freeze()
--- a/basalthoist/experiments/scale/lateness.py
+++ b/basalthoist/experiments/scale/lateness.py
@@ -1,9 +1,9 @@
-"""Measures how late timers fire on the event loop of the bench. More than allowed makes a run void."""
+"""Measures how late timers fire on an event loop. A run is void if its bench is later than the bound."""
 
 import time
 
 INTERVAL_S = 0.05
-MAX_P99_MS = 60.0  # under a third of a 0.2 s beat, the shortest interval measured
+MAX_P99_MS = 60.0  # under a third of 0.2 s, the shortest heartbeat interval measured
 
 
 class Lateness:
--- a/basalthoist/experiments/scale/load.py
+++ b/basalthoist/experiments/scale/load.py
@@ -1,7 +1,7 @@
-"""Open-loop clients and backends for one node, in a process of their own each.
+"""Open-loop clients and backends for one node; the clients run in one process, the backends in another.
 
 `python -m basalthoist.experiments.scale.load backends COUNT WORK_MS` prints the addresses as JSON and serves
-until its input ends; `... clients HOST:PORT RATE SECONDS ROUTES TENANTS SEED` prints what it measured.
+until its input ends; `... clients HOST:PORT RATE SECONDS ROUTES TENANTS SEED` prints its results as JSON.
 """
 
 import asyncio
@@ -13,11 +13,11 @@
 from ..loopback import void_reason
 
 clock = time.monotonic_ns
-WARM_UP_S = 3.0  # not counted: connections are being opened and latency profiles learnt
+WARM_UP_S = 3.0  # excluded: the clients open connections and the node learns latency profiles
 
 
 class BackendConnection(asyncio.Protocol):
-    """Answers after a random time around `work_s`, whatever its load; Said-At is the time of the answer."""
+    """Answers after a random time of mean `work_s`, whatever the load. Said-At is the time of the answer."""
 
     in_flight = 0
 
@@ -41,8 +41,8 @@
     def answer(self, worked: bool) -> None:
         BackendConnection.in_flight -= worked
         if not self.transport.is_closing():
-            more = b"Said-At: %d\r\n" % clock() if worked else b""
-            head = b"HTTP/1.1 200 OK\r\n%bServer-Load: inflight=0\r\nContent-Length: 2\r\n\r\nok" % more
+            said_at = b"Said-At: %d\r\n" % clock() if worked else b""
+            head = b"HTTP/1.1 200 OK\r\n%bServer-Load: inflight=0\r\nContent-Length: 2\r\n\r\nok" % said_at
             self.transport.write(head)
 
 
@@ -60,8 +60,8 @@
         if b"\r\n\r\n" not in self.text:
             return
         head, _, body = self.text.partition(b"\r\n\r\n")
-        at = head.lower().find(b"content-length: ")
-        size = int(head[at + 16 :].split(b"\r\n")[0]) if at >= 0 else 0
+        position = head.lower().find(b"content-length: ")
+        size = int(head[position + 16 :].split(b"\r\n")[0]) if position >= 0 else 0
         if len(body) >= size and self.waiter is not None and not self.waiter.done():
             self.text = b""
             status, closes = int(head.split(b" ", 2)[1]), b"connection: close" in head.lower()
@@ -95,27 +95,28 @@
         return {"found": self.found, "late_ms": sorted(self.late_ms), "offered": number}
 
     async def send_request(self, scheduled_at: float, number: int, counts: bool) -> None:
-        route = int(self.routes * self.random.random() ** 3)  # skewed: an eighth of the routes get half
+        # Skewed: an eighth of the routes, and of the tenants, get half of the requests.
+        route = int(self.routes * self.random.random() ** 3)
         tenant = int(self.tenants * self.random.random() ** 3)
         if self.idle:
-            line = self.idle.pop()
+            connection = self.idle.pop()
         else:
             loop = asyncio.get_running_loop()
-            _, line = await loop.create_connection(ClientConnection, *self.address)
-        line.waiter = asyncio.get_running_loop().create_future()
+            _, connection = await loop.create_connection(ClientConnection, *self.address)
+        connection.waiter = asyncio.get_running_loop().create_future()
         sent = clock()
-        line.transport.write(
+        connection.transport.write(
             b"GET /r%06d?work=1 HTTP/1.1\r\nHost: app\r\nRequest-Id: c%d\r\nTenant: t%06d\r\n"
             b"Request-Timeout-Ms: 900\r\nSent-At: %d\r\n\r\n" % (route, number, tenant, sent)
         )
-        status, at, closes = await line.waiter
+        status, received, node_closes = await connection.waiter
         if counts:
             self.late_ms.append(max(sent / 1e6 - scheduled_at * 1000, 0.0))
-            self.found.append([status, sent, at])
-        if closes:
-            line.transport.close()
+            self.found.append([status, sent, received])
+        if node_closes:
+            connection.transport.close()
         else:
-            self.idle.append(line)
+            self.idle.append(connection)
 
 
 async def serve(count: int, work_s: float) -> None:
--- a/basalthoist/experiments/scale/report.py
+++ b/basalthoist/experiments/scale/report.py
@@ -1,4 +1,4 @@
-"""Makes tables, charts and the ranking from the raw rows."""
+"""Writes tables, charts and the ranking from the raw rows."""
 
 import json
 from pathlib import Path
@@ -88,9 +88,9 @@
     needs, missing = ranking.needs(found, points)
     body = []
     for need in needs:
-        none = need.how == "no mechanism"
-        body.append([need.what, f"{text(need.need)} {need.unit}", "" if none else text(need.allowed),
-                     "-" if none else f"{need.ratio():.2f}", need.how, need.carried_by])  # fmt: skip
+        no_mechanism = need.how == "no mechanism"
+        body.append([need.what, f"{text(need.need)} {need.unit}", "" if no_mechanism else text(need.allowed),
+                     "-" if no_mechanism else f"{need.ratio():.2f}", need.how, need.carried_by])  # fmt: skip
     head = ["what", "need", "allowed", "ratio", "how known", "carried by"]
     lines = ["# Need over allowance", "", *table(head, body)]
     return lines + ([""] + [f"Not measured: {what}." for what in missing] if missing else [])
@@ -100,8 +100,8 @@
     """Writes table.md, ranking.md, slopes.json and the charts. Raises BadInput."""
     rows = rows_in(folder)
     found, points = slopes(rows), points_at_mean_rate(rows)
-    made = "Made from the raw rows beside it: `python -m basalthoist scale --report FOLDER`."
-    lines = ["# Scale: slopes", "", made]
+    source = "Made from the raw rows beside it: `python -m basalthoist scale --report FOLDER`."
+    lines = ["# Scale: slopes", "", source]
     for layer in dict.fromkeys(row.layer for row in rows):
         mine = [s for s in found.values() if s.layer == layer and ": mean" not in s.figure]
         lines += ["", f"## {layer}", "", HEAD, "| --- | --- | --- | --- | --- | --- | --- |"]
@@ -113,13 +113,13 @@
         lines += ["", f"Void, and in no slope: {len(voids)} rows."] + [f"- {line}" for line in voids[:12]]
     (folder / "table.md").write_text("\n".join(lines) + "\n")
     (folder / "ranking.md").write_text("\n".join(rank_table(found, points)) + "\n")
-    kept = {name: {"slope": s.slope, "half": s.half, "intercept": s.intercept, "of": s.of, "unit": s.unit,
-                   "sizes": s.sizes, "samples": s.samples, "counted": s.counted, "bend": s.bend}
-            for name, s in found.items()}  # fmt: skip
-    # JSON has no NaN: the half of a slope without an interval is null.
-    for one in kept.values():
-        one["half"] = None if one["half"] != one["half"] else one["half"]
-    (folder / "slopes.json").write_text(json.dumps(kept, indent=1, sort_keys=True) + "\n")
+    stored = {name: {"slope": s.slope, "half": s.half, "intercept": s.intercept, "of": s.of, "unit": s.unit,
+                     "sizes": s.sizes, "samples": s.samples, "counted": s.counted, "bend": s.bend}
+              for name, s in found.items()}  # fmt: skip
+    # JSON has no NaN: `half` is null for a slope without an interval.
+    for entry in stored.values():
+        entry["half"] = None if entry["half"] != entry["half"] else entry["half"]
+    (folder / "slopes.json").write_text(json.dumps(stored, indent=1, sort_keys=True) + "\n")
     charts(folder, rows, found)
 
 
@@ -145,26 +145,28 @@
     beats = (ranking.QUICK, ranking.SLOW)
     fleet = [r for r in rows if r.layer == "fleet"]
     roles = ("hollow node", "voter", "author")
-    parts = [f"{role}: part of a core, {beat}" for beat in beats for role in roles]
-    draw(folder, "fleet-core", fleet, parts, sizes.CORE_PART, "part of a core", "nodes")
-    words = [f"{role}, {beat}" for beat in beats for role in ("hollow node: bytes in", "author: bytes out")]
-    draw(folder, "fleet-bytes", fleet, words, sizes.CONTROL_BYTES_S, "bytes a second", "nodes")
-    kept = [r for r in rows if r.layer == "catalogue"]
+    core_figures = [f"{role}: part of a core, {beat}" for beat in beats for role in roles]
+    draw(folder, "fleet-core", fleet, core_figures, sizes.CORE_PART, "part of a core", "nodes")
+    byte_figures = [
+        f"{role}, {beat}" for beat in beats for role in ("hollow node: bytes in", "author: bytes out")
+    ]
+    draw(folder, "fleet-bytes", fleet, byte_figures, sizes.CONTROL_BYTES_S, "bytes a second", "nodes")
+    catalogue = [r for r in rows if r.layer == "catalogue"]
     kinds = ("tenants", "routes", "backends")
     for name, figure, allowed, unit in (
         ("memory", "memory of a node", sizes.CONTROL_MB, "MB"), ("start", "start to ready", 10.0, "s"),
         ("core", "part of a core of a node that nobody asks", sizes.CORE_PART, "part of a core"),
     ):  # fmt: skip
-        draw(folder, f"catalogue-{name}", kept, [f"{figure}, by {kind}" for kind in kinds], allowed, unit,
-              "how many stand in the file")  # fmt: skip
+        draw(folder, f"catalogue-{name}", catalogue, [f"{figure}, by {kind}" for kind in kinds], allowed,
+             unit, "how many stand in the file")  # fmt: skip
     path_chart(folder, rows)
 
 
 def path_chart(folder: Path, rows: list[Row]) -> None:
     """Draws a stacked bar for each run: the parts of the latency added to its slowest 1% of requests."""
-    end = ": mean of the slowest hundredth; "
-    mine = [r for r in rows if r.layer == "path" and not r.void and end in r.figure]
-    runs = list(dict.fromkeys((r.figure.partition(end)[2], r.x) for r in mine))
+    separator = ": mean of the slowest hundredth; "
+    mine = [r for r in rows if r.layer == "path" and not r.void and separator in r.figure]
+    runs = list(dict.fromkeys((r.figure.partition(separator)[2], r.x) for r in mine))
     if not runs:
         return
     with chart(folder, "path") as axes:
@@ -172,7 +174,7 @@
         for part in PARTS:
             values = []
             for tail, x in runs:
-                found = [r.value for r in mine if r.figure == f"{part}{end}{tail}" and r.x == x]
+                found = [r.value for r in mine if r.figure == f"{part}{separator}{tail}" and r.x == x]
                 values.append(mean(found) if found else 0.0)
             if max(values) > 0.01:
                 axes.barh([f"{x:g}/s, {tail}" for tail, x in runs], values, left=left, label=part)
--- a/basalthoist/experiments/scale/slopes.py
+++ b/basalthoist/experiments/scale/slopes.py
@@ -11,7 +11,7 @@
 class Slope(NamedTuple):
     layer: str
     figure: str
-    of: str
+    of: str  # the quantity that the figure is measured against, such as nodes
     unit: str
     counted: bool
     intercept: float
@@ -20,7 +20,7 @@
     sizes: list[float]
     samples: int
     largest: float  # the mean at the largest size
-    bend: float | None  # measured over expected at the largest size; None: too few sizes
+    bend: float | None  # ratio of measured to expected at the largest size; None: fewer than three sizes
     power: float | None  # exponent of growth between the two largest sizes: 1 is proportional
 
     def at(self, x: float) -> float:
@@ -39,11 +39,15 @@
 
 def line(xs: list[float], ys: list[float]) -> tuple[float, float, float]:
     """Fits by least squares; returns the intercept, the slope and half of its 95% interval."""
-    from scipy import stats  # the import takes a second; invalid calls need not wait for it
+    from scipy import stats  # takes a second, so a rejected command does not import it
 
     fitted = stats.linregress(xs, ys)
-    freedom = len(xs) - 2
-    half = float(stats.t.ppf(0.975, freedom)) * float(fitted.stderr) if freedom > 0 else float("nan")
+    degrees_of_freedom = len(xs) - 2
+    half = (
+        float(stats.t.ppf(0.975, degrees_of_freedom)) * float(fitted.stderr)
+        if degrees_of_freedom > 0
+        else float("nan")
+    )
     return float(fitted.intercept), float(fitted.slope), half
 
 
@@ -55,16 +59,18 @@
         return None
     first, by_size = rows[0], {x: mean([r.value for r in rows if r.x == x]) for x in sizes}
     intercept, slope, half = line([r.x for r in rows], [r.value for r in rows])
-    bend, last = None, sizes[-1]
+    bend, largest = None, sizes[-1]
     if len(sizes) > 2:
-        under, rise, _ = line([r.x for r in rows if r.x < last], [r.value for r in rows if r.x < last])
-        expected = under + rise * last
-        bend = by_size[last] / expected if expected > 0 else None
-    before, power = sizes[-2], None
-    if by_size[before] > 0 and by_size[last] > 0:
-        power = log(by_size[last] / by_size[before]) / log(last / before)
+        intercept_below, slope_below, _ = line(
+            [r.x for r in rows if r.x < largest], [r.value for r in rows if r.x < largest]
+        )
+        expected = intercept_below + slope_below * largest
+        bend = by_size[largest] / expected if expected > 0 else None
+    second_largest, power = sizes[-2], None
+    if by_size[second_largest] > 0 and by_size[largest] > 0:
+        power = log(by_size[largest] / by_size[second_largest]) / log(largest / second_largest)
     return Slope(first.layer, first.figure, first.of, first.unit, first.counted, intercept, slope, half,
-                 sizes, len(rows), by_size[last], bend, power)  # fmt: skip
+                 sizes, len(rows), by_size[largest], bend, power)  # fmt: skip
 
 
 def slopes(rows: list[Row]) -> dict[str, Slope]:
@@ -76,9 +82,9 @@
 
 
 def deviations(found: dict[str, Slope], stored: dict[str, Slope]) -> list[str]:
-    """Returns a line for each slope that differs from the stored one by more than both intervals allow.
+    """Returns a line for each slope that differs from the stored one by more than both half intervals added.
 
-    For state, at least 1% is allowed: another build of Python allocates slightly different sizes.
+    At least 1% is allowed for figures of state: another build of Python allocates slightly different sizes.
     """
     lines = []
     for name, slope in found.items():
