--- a/basalthoist/experiments/reporting.py
+++ b/basalthoist/experiments/reporting.py
@@ -1,4 +1,4 @@
-"""Makes tables and charts from stored raw results."""
+"""Writes tables and charts from stored raw results."""
 
 import csv
 from pathlib import Path
@@ -38,8 +38,8 @@
 def write_tables(about: dict, table_rows: list[dict], folder: Path) -> None:
     names = ["value", "policy", "runs", *FIGURES, "broken", "probes", "words", "connections"]
     with (folder / "table.csv").open("w", newline="") as file:
-        out = csv.writer(file)
-        out.writerow(
+        writer = csv.writer(file)
+        writer.writerow(
             [column for name in names for column in ((name, f"{name}_half") if name in FIGURES else (name,))]
         )
         for row in table_rows:
@@ -52,10 +52,10 @@
                     )
                 else:
                     cells.append("" if cell is None else cell)
-            out.writerow(cells)
+            writer.writerow(cells)
     shown = [name for name in names if name != "value" or about["plan"]["sweep"]]
-    heads = [about["plan"]["sweep"]["key"] if name == "value" else name for name in shown]
-    lines = ["| " + " | ".join(heads) + " |", "| " + " | ".join("---" for _ in heads) + " |"]
+    columns = [about["plan"]["sweep"]["key"] if name == "value" else name for name in shown]
+    lines = ["| " + " | ".join(columns) + " |", "| " + " | ".join("---" for _ in columns) + " |"]
     for row in table_rows:
         cells = [
             c.text(1 if n.endswith("ms") else 3) if isinstance(c := row[n], Mean) else str(c) for n in shown
@@ -64,8 +64,8 @@
     plan = about["plan"]
     source = f"Emulated. Revision {about['revision']}, {about['machine']}"
     source += f"; {plan['seeds']} seeds a row, 95% intervals."
-    head = [f"# {plan['name']}", "", plan["asks"], "", source, ""]
-    (folder / "table.md").write_text("\n".join(head + lines) + "\n")
+    title_lines = [f"# {plan['name']}", "", plan["asks"], "", source, ""]
+    (folder / "table.md").write_text("\n".join(title_lines + lines) + "\n")
 
 
 def write_charts(about: dict, table_rows: list[dict], all_results: list[dict], folder: Path) -> None:
@@ -83,10 +83,10 @@
             for policy in plan["policies"]:
                 seconds = [r["seconds"] for r in all_results if r["policy"] == policy]
                 fractions = []
-                for at in range(len(seconds[0])):
-                    offered = sum(run[at]["offered"] for run in seconds)
+                for second in range(len(seconds[0])):
+                    offered = sum(run[second]["offered"] for run in seconds)
                     fractions.append(
-                        sum(run[at]["in_time"] for run in seconds) / offered if offered else float("nan")
+                        sum(run[second]["in_time"] for run in seconds) / offered if offered else float("nan")
                     )
                 axes.plot(range(len(fractions)), fractions, label=policy)
             axes.set_xlabel("second")
--- a/basalthoist/experiments/soak/clients.py
+++ b/basalthoist/experiments/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of a run. Each uses a connection until the node closes it or is killed."""
+"""Clients of a run. Each sends its requests over one connection at a time and sometimes disconnects early."""
 
 import asyncio
 import time
@@ -12,7 +12,7 @@
 
 
 class Client:
-    """Sends requests one after the other. `killed` is set when the node is killed or the load ends."""
+    """Sends requests one after the other until `killed` is set, because the load or the node ends."""
 
     def __init__(
         self, plan: Plan, number: int, surroundings, address: tuple[str, int], started_at: float
@@ -43,7 +43,7 @@
             stays_open = await self.await_response(request, reader, writer)
             if not stays_open:
                 return
-            # New connections are soon impossible after SIGTERM, so clients keep the ones that they have.
+            # Soon after SIGTERM the node accepts no new connection, so clients keep the ones that they have.
             is_terminating = time.monotonic() >= self.started_at + self.plan.load_s
             if self.rng.random() < RECONNECT_PROBABILITY and not is_terminating:
                 return
--- a/basalthoist/experiments/soak/judge.py
+++ b/basalthoist/experiments/soak/judge.py
@@ -1,4 +1,4 @@
-"""Checks the record of a run against the documented rules. Limits and their slack are the documented ones."""
+"""Checks the record of a run against the documented rules, with the limits and slack documented there."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -8,8 +8,8 @@
 from .record import MAY_HAVE_RUN, NEVER_RAN, Attempt, Record, Request
 
 TIME_LIMIT_SLACK_S = 0.05  # the protocol documentation allows 50 ms beyond each time limit
-LATE_RESPONSE_ALLOWANCE_S = 0.5  # until then a late response earns nothing, but breaks no rule
-ANNOUNCED_TIMEOUT_SLACK_S = 0.15  # allows for a node that is held up
+LATE_RESPONSE_ALLOWANCE_S = 0.5  # a response up to so long after its deadline is late, but breaks no rule
+ANNOUNCED_TIMEOUT_SLACK_S = 0.15  # for a node that reads or forwards the request late
 MAX_ATTEMPT_AFTER_DISCONNECT_S = 0.1
 CLOSE_RACE_S = 0.02  # the node may close a connection before it sees a request written so shortly before
 # Settings of the node under test.
@@ -20,7 +20,7 @@
 
 @dataclass
 class Violation:
-    """A rule that was broken, by which request (empty: none in particular), and how."""
+    """A broken rule, the id of the request that broke it (empty: no single one), and how it was broken."""
 
     rule: str
     ident: str
@@ -79,10 +79,10 @@
 
 
 def check_repeats(plan: Plan, request: Request) -> Iterator[Violation]:
-    ran = [attempt for attempt in request.attempts if attempt.outcome == MAY_HAVE_RUN]
-    if not ran or request.route == "read":
+    may_have_run = [attempt for attempt in request.attempts if attempt.outcome == MAY_HAVE_RUN]
+    if not may_have_run or request.route == "read":
         return
-    first = ran[0]
+    first = may_have_run[0]
     later = request.attempts[request.attempts.index(first) + 1 :]
     for attempt in later:
         after_s = attempt.received_at - first.received_at
@@ -140,8 +140,8 @@
     N + 2 * sqrt(N) + 2 for N = overload multiple * capacity * window; 3 in place of 2 where N is under 30.
     """
     n = OVERLOAD_MULTIPLE * capacity_per_s(age_s) * OVERLOAD_WINDOW_S
-    times = 3 if n < 30 else 2
-    return n + times * sqrt(n) + times
+    factor = 3 if n < 30 else 2
+    return n + factor * sqrt(n) + factor
 
 
 def check_cold_starts(record: Record) -> Iterator[Violation]:
--- a/basalthoist/experiments/starts.py
+++ b/basalthoist/experiments/starts.py
@@ -1,7 +1,7 @@
 """Measures how long many nodes started at once take until `/ready` returns 200, with or without busy loops
 that compete for the processor.
 
-The time of a node counts from just before its process is spawned. This module serves discovery itself.
+The time of a node counts from just before its process is spawned. The discovery agent runs in this process.
 """
 
 import asyncio
@@ -24,7 +24,7 @@
 
 class StartTimes(NamedTuple):
     ready_s: float  # from spawning the process until `/ready` returned 200
-    cpu_s: float  # processor time of the process up to then
+    cpu_s: float  # processor time of the process until then
 
 
 def cpu_s(pid: int) -> float:
@@ -107,8 +107,8 @@
 
 def said(starts: list[StartTimes], busy: int) -> str:
     """Returns one line with the median, 90th percentile and longest time until a node was ready."""
-    waits, cpu_times = sorted(node.ready_s for node in starts), sorted(node.cpu_s for node in starts)
-    half, nine = len(starts) // 2, max(0, -(-9 * len(starts) // 10) - 1)
-    return (f"{len(starts)} starts beside {busy} busy loops: ready after {waits[half]:.2f} s (50th), "
-            f"{waits[nine]:.2f} s (90th), {waits[-1]:.2f} s (last); "
-            f"processor time {cpu_times[half]:.3f} s (50th), {cpu_times[-1]:.3f} s (most)")  # fmt: skip
+    ready_times, cpu_times = sorted(node.ready_s for node in starts), sorted(node.cpu_s for node in starts)
+    median, p90 = len(starts) // 2, max(0, -(-9 * len(starts) // 10) - 1)
+    return (f"{len(starts)} starts beside {busy} busy loops: ready after {ready_times[median]:.2f} s (50th), "
+            f"{ready_times[p90]:.2f} s (90th), {ready_times[-1]:.2f} s (last); "
+            f"processor time {cpu_times[median]:.3f} s (50th), {cpu_times[-1]:.3f} s (most)")  # fmt: skip
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -83,13 +83,13 @@
 )
 def test_worse_slope_is_reported(defect, monkeypatch):
     name = defect(monkeypatch)
-    assert [line.split(":")[1] for line in slopes.deviations(counted_slopes(name), stored_slopes())] == [
+    assert [text.split(":")[1] for text in slopes.deviations(counted_slopes(name), stored_slopes())] == [
         f" {name}"
     ]
 
 
 async def run_hollow_nodes(folder: Path, nodes: int) -> tuple[dict, int]:
-    """Returns what a worker with `nodes` hollow nodes, voters included, counts in a second, and its pid."""
+    """Runs a worker with `nodes` hollow nodes, voters included, for a second; returns its figures and pid."""
     async with Bench(folder) as bench:
         names = [f"n{number:05}" for number in range(nodes)]
         fleet = folder / "fleet.toml"
@@ -116,18 +116,20 @@
     nodes = 8
     found, pid = asyncio.run(run_hollow_nodes(tmp_path, nodes))
     assert found["least"] == {"count": nodes, "ready": True, "acting": 0, "there": nodes, "fresh": True}
-    beats = [line for line in found["words"]["heard"] if line[2] == "Heartbeat"]
-    touches = [line for line in found["words"]["heard"] if line[2] == "HeartbeatReply"]
-    assert {line[0] for line in beats} == {f"n{n:05}" for n in range(nodes)} - {beats[0][1]}
-    words, size = (sum(line[at] for line in beats) for at in (-2, -1))
-    assert sum(line[-2] for line in touches) == pytest.approx(words, abs=2 * nodes)
-    assert words / (nodes - 1) / found["seconds"] <= 10 * 1.2  # ten heartbeats a second
-    assert size / words == pytest.approx(stored_slopes()["counts: author's bytes a beat"].slope, abs=8)
+    heartbeats = [entry for entry in found["words"]["heard"] if entry[2] == "Heartbeat"]
+    replies = [entry for entry in found["words"]["heard"] if entry[2] == "HeartbeatReply"]
+    assert {entry[0] for entry in heartbeats} == {f"n{n:05}" for n in range(nodes)} - {heartbeats[0][1]}
+    message_count, size = (sum(entry[at] for entry in heartbeats) for at in (-2, -1))
+    assert sum(entry[-2] for entry in replies) == pytest.approx(message_count, abs=2 * nodes)
+    assert message_count / (nodes - 1) / found["seconds"] <= 10 * 1.2  # ten heartbeats a second
+    assert size / message_count == pytest.approx(
+        stored_slopes()["counts: author's bytes a beat"].slope, abs=8
+    )
     members = [files.member(number) for number in range(12)]
     lists, list_bytes, watches = found["agent"]
     assert lists == watches == nodes
     assert list_bytes / nodes == pytest.approx(len(counts.list_text(1, members)), abs=50)
-    assert (tmp_path / "n00000" / "succession.sock").exists()  # in the folder of the node
+    assert (tmp_path / "n00000" / "succession.sock").exists()  # the handover socket is in the node's folder
     assert not Path(f"/proc/{pid}").exists()
 
 
@@ -196,17 +198,18 @@
 
 def test_parts_sum_up_and_exclude_blocked_time():
     ms = 1_000_000
-    # Sent at 0, read at 2, waiting from 4 to 7, written at 9; answered at 20, received at 24, back at 26.
-    at = [2, 3, 4, 7, 8, 9, 24, 24, 25]
-    trace = {"exchanges": [[0 + 1, 20 * ms, "cold", 1, *(ms * one for one in at)]],
+    # In ms: the client sends at 0; the node reads at 2, holds the request from 4 to 7 and writes it at 9; the
+    # backend answers at 20; the node reads the answer at 24; the client has it at 26.
+    times_ms = [2, 3, 4, 7, 8, 9, 24, 24, 25]
+    trace = {"exchanges": [[0 + 1, 20 * ms, "cold", 1, *(ms * at for at in times_ms)]],
              "rounds": [[21 * ms, 23 * ms]], "pauses": [[22 * ms, 22 * ms + ms // 2, 0]]}  # fmt: skip
-    (one,) = parts.split_requests(trace, [[200, 1, 26 * ms]])
-    assert one.whole == pytest.approx(sum(one.parts.values()))
-    assert one.whole == pytest.approx(9 + 6, abs=0.001)  # without the 11 ms at the backend
-    assert one.parts["held: cold"] == pytest.approx(3) and one.parts["held: in share"] == 0
-    assert one.parts["the once-a-second round"] == pytest.approx(1.5)
-    assert one.parts["collection of garbage"] == pytest.approx(0.5)
-    assert one.parts["answer waiting to be read"] == pytest.approx(2)
+    (split,) = parts.split_requests(trace, [[200, 1, 26 * ms]])
+    assert split.whole == pytest.approx(sum(split.parts.values()))
+    assert split.whole == pytest.approx(9 + 6, abs=0.001)  # without the 11 ms at the backend
+    assert split.parts["held: cold"] == pytest.approx(3) and split.parts["held: in share"] == 0
+    assert split.parts["the once-a-second round"] == pytest.approx(1.5)
+    assert split.parts["collection of garbage"] == pytest.approx(0.5)
+    assert split.parts["answer waiting to be read"] == pytest.approx(2)
     assert parts.split_requests(trace, [[503, 1, 26 * ms]]) == []
 
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -13,7 +13,7 @@
 from basalthoist.experiments.soak.playing import play
 from basalthoist.experiments.soak.record import Attempt, Record, Request
 
-MAX_RUNS = 8  # a broken variant has to be detected within so many
+MAX_RUNS = 8  # runs within which a broken variant has to be detected
 
 
 @pytest.mark.parametrize("seed", range(1, 13))
@@ -24,7 +24,7 @@
 
 
 def can_show_fault(name: str, plan: Plan) -> bool:
-    """Returns whether the plan has the faults in which the broken rule can show at all."""
+    """Returns whether the plan has the faults and settings in which this broken variant can show."""
     if name == "forgets_drains":
         return any(
             e.kind == "drain" and e.at_s < plan.load_s - 1 and e.for_s > plan.grace_s + 0.2
@@ -42,7 +42,7 @@
         slow = any(e.kind == "reset" and e.value > 150 and e.for_s > 0.5 for e in plan.events)
         return slow and plan.window_s == 0.4 and plan.deadline_s >= 0.9
     if name == "sends_for_who_left":
-        # The deadline leaves time for another attempt after so late a reset.
+        # A reset after more than 300 ms needs a deadline that leaves time for another attempt.
         late = any(e.kind == "reset" and e.value > 300 and e.for_s > 0.5 for e in plan.events)
         return late and plan.early_disconnect_ratio == 0.3 and plan.clients >= 12 and plan.deadline_s >= 0.9
     if name == "keeps_connections":
@@ -93,14 +93,14 @@
     [
         (request("read", 200, 0.2, 0.1), []),
         (request("read", 503, 1.41, 0.1), ["lost"]),  # more than 0.5 s after its deadline
-        (request("read", 0, 0.01), []),  # the close crossed the request
+        (request("read", 0, 0.01), []),  # the node closed the connection before it saw the request
         (request("read", 0, 0.01, 0.005), ["lost"]),  # an attempt had been sent
         (request("read", 0, 0.3), ["lost"]),
         (request("read", 0, 0.01, killed=True), ["lost"]),
         (request("pay", 502, 0.5, 0.1), []),
         (request("pay", 503, 0.5, 0.1), ["duplicate"]),  # rejected though it may have run
         (request("pay", 200, 0.5, 0.1, 0.3), ["duplicate"]),
-        (request("mark", 200, 0.6, 0.1, 0.54), []),  # within the window and 50 ms
+        (request("mark", 200, 0.6, 0.1, 0.54), []),  # within the window plus 50 ms of slack
         (request("mark", 200, 0.6, 0.1, 0.56), ["duplicate"]),
         (request("mark", 503, 0.54, 0.1), []),
         (request("mark", 503, 0.56, 0.1), ["duplicate"]),
