--- a/basalthoist/configuration/__init__.py
+++ b/basalthoist/configuration/__init__.py
@@ -24,7 +24,8 @@
 
 
 def __getattr__(name: str) -> object:
-    """Imports the submodule that defines `name` and returns the object. Raises AttributeError otherwise."""
+    """Imports the submodule that defines `name` and returns the object. Raises AttributeError for other
+    names."""
     if name not in MODULES:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
     value = getattr(import_module(f"{__name__}.{MODULES[name]}"), name)
--- a/basalthoist/configuration/bodies.py
+++ b/basalthoist/configuration/bodies.py
@@ -8,7 +8,8 @@
 from basalthoist.addresses import address_of
 from basalthoist.distribution.catalogue import Catalogue, Entry, EntryError, Key
 
-Present = Callable[[Key], Entry | None]  # returns a key's entry after all earlier changes
+# Returns the entry of a key as all earlier changes leave it, or None.
+Present = Callable[[Key], Entry | None]
 SCOPED_KINDS = "route", "backends"  # kinds whose entries have a service as their scope
 
 
--- a/basalthoist/configuration/distribution.py
+++ b/basalthoist/configuration/distribution.py
@@ -36,7 +36,7 @@
     stale_s: Seconds = 4.0  # the age by which a node has noticed that its view is stale
     when_stale: Literal["stand_by", "serve"] = "stand_by"
     silent_s: Seconds = 2.0  # a connection that receives nothing for this long is abandoned
-    idle_s: Seconds = 300.0  # a node drops a tenant's entry after this long without its requests
+    idle_s: Seconds = 300.0  # a node drops a tenant's entry after this long without a request of the tenant
     drift: Annotated[float, msgspec.Meta(ge=0, le=0.1)] = 0.001  # maximum relative error of a clock's rate
     answer_s: Seconds = 6.0  # timeout of an operator's call, retries included
     batch_s: Seconds = 0.1  # interval between two changes; calls that arrive meanwhile are batched
--- a/basalthoist/configuration/fleet.py
+++ b/basalthoist/configuration/fleet.py
@@ -30,10 +30,10 @@
     The leader is called author in log lines and operators' answers. See docs/fleet.md."""
 
     fleet: Annotated[str, msgspec.Meta(pattern="^[A-Za-z0-9-]+$")]
-    nodes: Annotated[dict[str, str], msgspec.Meta(min_length=1)]  # address of each for fleet messages
+    nodes: Annotated[dict[str, str], msgspec.Meta(min_length=1)]  # address for fleet messages, by node
     voters: Annotated[list[str], msgspec.Meta(min_length=1)]
-    lease_s: Seconds = 2.0  # duration of a voter's promise; a fleet whose leader failed waits as long
-    beat_s: Seconds = 0.2  # the leader's heartbeat interval; a change reaches all nodes in about one
+    lease_s: Seconds = 2.0  # duration of a voter's promise, and of the wait after a leader's failure
+    beat_s: Seconds = 0.2  # the leader's heartbeat interval; a change arrives within about one interval
     fresh_s: Seconds = 1.0  # A of docs/fleet.md: a node with a view up to this age is in touch
     stale_s: Seconds = 4.0  # B of docs/fleet.md: the age by which a node knows that its view is stale
     when_stale: Literal["stand_by", "serve"] = "stand_by"
@@ -41,9 +41,10 @@
     answer_s: Seconds = 6.0  # timeout of an operator's call, retries included
     probe_s: Seconds = 1.0  # interval of the membership protocol's probes
     most_verdicts: Annotated[int, msgspec.Meta(gt=0, le=4096)] = 4096
-    sick_from: Annotated[int, msgspec.Meta(ge=0)] = 0  # Nodes that must report an outlier; 0: off.
-    sick_s: Seconds = 20.0  # how long the fleet ejects a backend that so many nodes report
-    # All limits are sent in one datagram.
+    # Number of nodes whose reports of an outlier make the fleet eject it; 0: off.
+    sick_from: Annotated[int, msgspec.Meta(ge=0)] = 0
+    sick_s: Seconds = 20.0  # how long the fleet ejects a backend that `sick_from` nodes report
+    # The number is bounded because all limits are sent in one datagram.
     limits: Annotated[list[LimitDocument], msgspec.Meta(max_length=32)] = []
     grant_s: Seconds = 1.0  # how long a grant of part of a limit is valid
     # Part of each limit that is guaranteed to the nodes in equal shares, also while they are out of touch.
@@ -128,7 +129,8 @@
 
 
 def check_limits(path: str, document: FleetDocument, tenants: list[str]) -> None:
-    """Raises ConfigurationError unless each tenant has at most one limit and grants overlap."""
+    """Raises ConfigurationError unless limits name known tenants, each at most once, and grants last long
+    enough to be renewed."""
     limited: list[str] = []
     for number, limit in enumerate(document.limits):
         key = f"limits[{number}].customer"
@@ -146,7 +148,8 @@
 def check_outlier_reports(path: str, document: FleetDocument) -> None:
     """Raises ConfigurationError unless `sick_from` is 0, or at least 2 and at most the number of nodes.
 
-    The fault that a single node observes may be one of its own link; more than all nodes never report."""
+    A fault that a single node observes may be one of its own link. A threshold above the number of nodes
+    could never be reached."""
     if document.sick_from and not 2 <= document.sick_from <= len(document.nodes):
         expected = f"0, or 2 to the nodes, {len(document.nodes)}"
         raise unexpected(path, "sick_from", expected, document.sick_from)
--- a/basalthoist/configuration/node.py
+++ b/basalthoist/configuration/node.py
@@ -117,7 +117,7 @@
         )
     if document.discovery == before.document.discovery:
         return before.discovery
-    # Ignores PROXY_DISCOVERY, which nobody can change in a running process: it would hide the move.
+    # PROXY_DISCOVERY is ignored: it cannot change in a running process, and would hide the new address.
     return address("discovery", document.discovery)
 
 
@@ -143,7 +143,7 @@
     """Returns the limits with `sockets` and `reserve`, in descriptors, reduced to fit `open_files`.
 
     Raises ConfigurationError if `watch_silent_s` is too long for `watch_told_s`."""
-    # Guards against a silent watch that is detected after the changes that it missed count as known.
+    # Guards against a watch whose silence is detected only after its missed changes should be known.
     max_silence_s = MAX_SILENCE_PART * limits.watch_told_s
     if limits.watch_silent_s > max_silence_s:
         raise ConfigurationError(f"limits.watch_silent_s: at most {max_silence_s:g}, by watch_told_s")
--- a/basalthoist/configuration/strict_entries.py
+++ b/basalthoist/configuration/strict_entries.py
@@ -33,7 +33,8 @@
 
 
 class VerdictBody(msgspec.Struct, forbid_unknown_fields=True):
-    """A verdict of the fleet's register on a backend or a tenant."""
+    """A verdict of the fleet's register on a backend or a tenant. The keys `figure`, `who` and `why` have the
+    meaning of the fields of `fleet.verdicts.Verdict`."""
 
     verdict: Literal["ban", "sick", "customer", "quota"]
     figure: Quota = 0.0
@@ -124,7 +125,7 @@
 
 
 def user_of(removed: Entry, change: dict[Key, Entry], present: Present, catalogue: Catalogue) -> str:
-    """Returns an entry that still refers to one that is removed, as "kind name", or an empty text.
+    """Returns "kind name" of an entry that still refers to `removed`, or an empty text if there is none.
 
     Guards against routes, backends and tenants without their service, and limits without their tenant."""
     keys: Iterable[Key] = ()
--- a/basalthoist/gateway/links.py
+++ b/basalthoist/gateway/links.py
@@ -134,7 +134,7 @@
         return [self.endpoint_of(link) for link in self.links]
 
     def names(self) -> set[str]:
-        """Returns the names that this object registered in `Upstream`, which no endpoint list has."""
+        """Returns the names of links and gateways in `Upstream`. They occur in no endpoint list."""
         return {*self.links, *(f"gateway:{name}" for name in self.addresses)}
 
     def headers_for(self, backend: str, timeout: int) -> tuple[bytes, int]:
--- a/basalthoist/gateway/sites.py
+++ b/basalthoist/gateway/sites.py
@@ -32,7 +32,7 @@
     calm_time: int = 3 * SECOND  # time without a cause before spill ends
     listed_window: int = 60 * SECOND  # period in which the maximum of listed backends is taken
     help_share: float = 0.25  # part of the usable backends' capacity for requests of other sites
-    max_links: int = 32  # per other site
+    max_links: int = 32  # maximum number of links to another site
 
 
 @dataclass(slots=True)
@@ -173,7 +173,7 @@
         return is_stable and not gateway.report.hot and gateway.report.usable > 0
 
     def accepts(self, hops: int) -> bool:
-        """Whether a spilled request is admitted. Others are answered as not started."""
+        """Whether a spilled request is admitted. A rejected one is answered as not started."""
         # Guards against loops, in which a request passes from site to site until its deadline.
         if hops != 1 or self.hot():
             return False
--- a/basalthoist/jsonrpc/client_connection.py
+++ b/basalthoist/jsonrpc/client_connection.py
@@ -160,7 +160,8 @@
         """
         if self.is_broken() or not has_ended(self.transport, select.POLLRDHUP):
             return self.is_broken()
-        # Guards against a space in the middle of a line. Data that waits to be written serves as well.
+        # Guards against a space in the middle of a line. Buffered data makes the space unnecessary: it draws
+        # the same reset.
         if not self.transport.get_write_buffer_size():
             try:
                 os.write(descriptor_of(self.transport), b" ")
@@ -238,7 +239,7 @@
         self.front_end.start(caller, call)
 
     def end_call(self, caller: Caller, member: bytes, holds_id: bool = True) -> None:
-        """Writes the response to a call, or adds it to its batch. `holds_id`: the call's id can be reused."""
+        """Writes the response to a call, or adds it to its batch. `holds_id`: the call's id is released."""
         if self.callers.pop(caller, 0) == 0:
             return
         if holds_id:
--- a/basalthoist/jsonrpc/front_end.py
+++ b/basalthoist/jsonrpc/front_end.py
@@ -81,7 +81,7 @@
         timeout = route.overall_timeout // 100 or SECOND
         number, params = self.dispatcher.next_number(), bytes(call.params)
         arrived_at = caller.connection.arrived_at
-        # The deadline counts from arrival, since the client has waited while the call waited behind others.
+        # The deadline counts from arrival: the client also waits while the call is behind others.
         deadline = self.dispatcher.cap_deadline(arrived_at + timeout)
         request = JsonProxiedRequest(number, caller, call.method, params, deadline)
         request.arrived_at = arrived_at
--- a/basalthoist/jsonrpc/upstream.py
+++ b/basalthoist/jsonrpc/upstream.py
@@ -73,7 +73,7 @@
 
 
 class JsonConnection(Connection):
-    """A connection to a backend."""
+    """A connection to a backend that speaks JSON-RPC."""
 
     def __init__(self, pool: "ConnectionPool", sock: socket.socket) -> None:
         super().__init__(pool, sock)
--- a/basalthoist/simulator/adapter.py
+++ b/basalthoist/simulator/adapter.py
@@ -17,11 +17,12 @@
 
 
 def clock_tenths(microseconds: int) -> int:
+    """Converts the simulator's clock to tenths of a millisecond, rounded down."""
     return microseconds // 100
 
 
 class Instance:
-    """One simulated node: the host of its balancer, which also receives the events of the simulator."""
+    """One simulated node. Passes the simulator's events to its balancer, and is the balancer's host."""
 
     def __init__(self, who: str, out: list[str], salt: int, settings: dict, now: int) -> None:
         self.prefix = "\t" + who
--- a/basalthoist/start.py
+++ b/basalthoist/start.py
@@ -40,8 +40,8 @@
 
 def run_node(log_format: LogFormat | None = None) -> int:
     """Runs the node that PROXY_CONFIG configures until a shutdown signal. Returns the exit code."""
-    # Guards against a SIGHUP before the node exists, which would end the process, or be lost once the files
-    # have been read. The handler is installed before the imports, which take most of the start.
+    # Guards against a SIGHUP before the node exists: without a handler it would end the process, and after
+    # the files have been read it would be lost. The imports, which take most of the start, come afterwards.
     hangups: list[bool] = []
     signal.signal(signal.SIGHUP, lambda *_: hangups.append(True))
     # No object of the start becomes garbage; the collector took a tenth of the start's processor time.
