--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,4 +1,4 @@
-"""Races at the end of watches, requests and processes: each test forces the order of events that did harm.
+"""Races at the end of watches, requests and processes: each test forces the order of events of a fault.
 
 docs/endings.md lists the cases.
 """
@@ -69,8 +69,8 @@
 
 
 def said(revision, *members, complete=False, indent=None):
-    said = {"revision": revision, "complete": complete, "members": members}
-    return json.dumps(said, indent=indent).encode()
+    update = {"revision": revision, "complete": complete, "members": members}
+    return json.dumps(update, indent=indent).encode()
 
 
 def list_of(*members, revision=1):
@@ -366,7 +366,10 @@
 
 
 class LateAfterFirst(Late):
-    """Accepts one connection, on which it answers 500 once its queue is full, and the others late."""
+    """Answers 500 on its first connection, and accepts later connections only after `come_up`.
+
+    The accept queue is full before the 500 is written, so that a retry has to wait.
+    """
 
     def __init__(self):
         super().__init__()
@@ -402,11 +405,11 @@
             assert late.failed.wait(10)
         wait_for(lambda: connecting_to(late))
         time.sleep(0.3)
-        most = 8000 - (time.monotonic() - asked_at) * 1000  # the request cannot be written earlier
+        max_timeout_ms = 8000 - (time.monotonic() - asked_at) * 1000  # the request cannot be written earlier
         late.come_up()
         assert read_message(source).body == b"late"
-    [told] = [first.lower() for first in late.received if b"request-id: late" in first.lower()]
-    assert int(told.partition(b"request-timeout-ms: ")[2].split()[0]) <= most
+    [received] = [first.lower() for first in late.received if b"request-id: late" in first.lower()]
+    assert int(received.partition(b"request-timeout-ms: ")[2].split()[0]) <= max_timeout_ms
 
 
 def test_retry_waiting_for_connection_is_not_sent_after_dedup_window(start):
@@ -418,7 +421,7 @@
     sock, _ = client_sending(program, request(timeout=8000, ident="twice"))
     with sock, sock.makefile("rb") as source:
         assert late.failed.wait(10)
-        wait_for(lambda: connecting_to(late))  # for the repeat
+        wait_for(lambda: connecting_to(late))  # for the retry
         time.sleep(0.5)
         late.come_up()
         assert read_message(source).status != "200"
@@ -444,7 +447,7 @@
         discovery.tell(member("s-0", other))
     elif change == "banned":
         discovery.tell(member("s-1", other))
-        wait_for(lambda: call(admin, "maint-off s-1").startswith("SUCCESS"))  # once it is listed
+        wait_for(lambda: call(admin, "maint-off s-1").startswith("SUCCESS"))  # fails until s-1 is listed
         assert call(admin, "maint-on s-0") == "SUCCESS maint-on\n"
     elif change == "anew":
         discovery.tell(member("s-0", late, started=int(time.time() * 1000)), member("s-1", other))
@@ -455,7 +458,7 @@
     late.come_up()
     other.close()
     wait_for(late.connected)
-    assert program.ask(b"GET /ready HTTP/1.1\r\n\r\n").status == "200"  # it has read the change by now
+    assert program.ask(b"GET /ready HTTP/1.1\r\n\r\n").status == "200"  # the node has read the change by now
     time.sleep(0.1)
     assert not late.received
 
@@ -471,7 +474,7 @@
         sock = sock or program.connect()
         sock.sendall(request("pay", ident="left"))
         leave(sock)
-        time.sleep(0.3)  # the time that docs allow it to lie unread
+        time.sleep(0.3)  # the longest time for which, by the docs, a request lies unread
     assert program.ask(request(ident="next")).status == "200"
     assert seen_request_ids(backend) == ["first", "next"][not keepalive :]
 
@@ -534,7 +537,7 @@
 
 
 def test_close_is_detected_while_reading_body_is_paused(start):
-    """The body would be streamed to the backend, which accepts no connection yet."""
+    """The body waits to be streamed to the backend, which accepts no connection before `come_up`."""
     late = Late()
     program, _, _ = start(late, settings_more=long_timeout_settings(False))
     head = request("pay", timeout=8000, ident="left", extra="Content-Length: 1000000\r\n")
@@ -549,7 +552,7 @@
 
 
 def test_spilled_request_is_closed_when_client_closes(tmp_path):
-    """The other site sees the close; the tests above cover its reaction: this node is its client."""
+    """The other site, whose client this node is, sees the close. The tests above cover its reaction."""
     saved = []
 
     def gateway(stand_in, sock, asked):
@@ -608,13 +611,13 @@
 def test_sighup_while_configuration_is_read_is_not_missed(tmp_path):
     """The configuration file is a pipe at first, so that the process blocks while reading it."""
     with closing(DiscoveryStandIn([])) as before, closing(DiscoveryStandIn([])) as after:
-        made, path = document(before.address), tmp_path / "held.json"
+        configuration, path = document(before.address), tmp_path / "held.json"
         os.mkfifo(path)
-        with closing(Program(tmp_path, made, PROXY_CONFIG=str(path))) as program:
+        with closing(Program(tmp_path, configuration, PROXY_CONFIG=str(path))) as program:
             with open(path, "wb") as pipe, process_stopped(program):  # open once the program reads it
-                pipe.write(json.dumps(made).encode())
+                pipe.write(json.dumps(configuration).encode())
                 pipe.close()
-                (tmp_path / "new.json").write_text(json.dumps(made | {"discovery": after.address}))
+                (tmp_path / "new.json").write_text(json.dumps(configuration | {"discovery": after.address}))
                 os.replace(tmp_path / "new.json", path)
                 program.process.send_signal(signal.SIGHUP)
             program.wait_ready()
@@ -625,8 +628,8 @@
     """The process is started as operators do, and gets SIGHUP from the moment that Python runs."""
     run = tomllib.loads((Path(__file__).parent.parent / "deploy/balancer.toml").read_text())["run"]
     discovery = DiscoveryStandIn([])
-    path, made = tmp_path / "config.json", document(discovery.address)
-    path.write_text(json.dumps(made))
+    path, configuration = tmp_path / "config.json", document(discovery.address)
+    path.write_text(json.dumps(configuration))
     command = ["/bin/sh", "-c", run.replace(".venv/bin/python", sys.executable)]
     log = tmp_path / "log"
     with log.open("w") as errors:
@@ -731,7 +734,7 @@
 
 
 def test_unread_request_on_keepalive_connection_is_answered_when_descriptors_run_out(start):
-    """On a keep-alive connection the next request lies unread when descriptors run out: it is not idle."""
+    """A keep-alive connection whose next request lies unread when descriptors run out is not idle."""
     program, _, _ = start(reply(), limits={"sockets": 96, "client_kept_part": 0.9})
     keepalive = [program.connect() for _ in range(20)]
     sources = [sock.makefile("rb") for sock in keepalive]
@@ -752,8 +755,8 @@
 def test_no_descriptor_leaks_after_clients_close_at_every_stage(start):
     """Clients close at every stage, and backends answer, are silent or accept late: no descriptor leaks."""
     late = Late()
-    two = StandIn(lambda *what: None if "/t" in what[2].path else reply()(*what))
-    program, (_, one, _), discovery = start(late, reply(), two, settings_more=long_timeout_settings())
+    silent_on_t = StandIn(lambda *arguments: None if "/t" in arguments[2].path else reply()(*arguments))
+    program, (_, one, _), discovery = start(late, reply(), silent_on_t, settings_more=long_timeout_settings())
     wait_for(lambda: discovery.watches)
 
     def descriptors():
@@ -766,9 +769,9 @@
         for number, part in enumerate(parts):
             sock, _ = client_sending(program, part.replace(b"%d", b"t%d-%d" % (turn, number)))
             leave(sock, "rst" if turn % 2 else "fin")
-    discovery.tell(*(member(f"s-{n}", b, "gone") for n, b in enumerate((late, one, two))))
+    discovery.tell(*(member(f"s-{n}", b, "gone") for n, b in enumerate((late, one, silent_on_t))))
     wait_for(lambda: not count_sockets(ESTABLISHED, CLOSE_WAIT, port=program.address[1]))
-    ports = [address_of(backend.address)[1] for backend in (late, one, two)]
+    ports = [address_of(backend.address)[1] for backend in (late, one, silent_on_t)]
     states = ESTABLISHED, CLOSE_WAIT, SYN_SENT
     wait_for(lambda: not any(count_sockets(*states, peer=port, but=late.own) for port in ports))
     assert descriptors() < 20
@@ -813,10 +816,10 @@
 
     send(range(300))
     late.come_up()
-    time.sleep(4)  # TCP repeats its SYN 1, 3 and 7 s after the first
+    time.sleep(4)  # TCP repeats a SYN 1, 3 and 7 s after the first one
     send(range(300, 500))
     for sock in socks:
         sock.close()
     at = sorted(late.arrived_at)
-    most = max(sum(0 <= other - first < 0.03 for other in at) for first in at)
-    assert len(at) > 3 and most <= 2, [round(moment - at[0], 2) for moment in at]
+    max_in_window = max(sum(0 <= other - first < 0.03 for other in at) for first in at)
+    assert len(at) > 3 and max_in_window <= 2, [round(moment - at[0], 2) for moment in at]
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,7 +1,7 @@
 """After a client has closed its connection, no attempt for its request starts, neither first nor retry.
 
-The node runs in the process of the test and times are taken from the node's clock, so that a busy machine
-changes the order of no two events. docs/endings.md describes the cases.
+The node runs in the process of the test and times are taken from the node's clock, so that load on the
+machine cannot reorder two events. docs/endings.md describes the cases.
 """
 
 import asyncio
@@ -56,9 +56,9 @@
         self.dispatcher, self.timers = self.node.dispatcher, self.node.timers
         self.serving = loop.create_task(self.node.serve())
 
-    async def until(self, true, seconds=10):
+    async def until(self, condition, seconds=10):
         end = time.monotonic() + seconds
-        while not (found := true()):
+        while not (found := condition()):
             assert time.monotonic() < end, f"condition not met within {seconds} s"
             await asyncio.sleep(0.002)
         return found
@@ -68,7 +68,10 @@
         return socket.create_connection((host, int(port)), timeout=10)
 
     async def client_sending(self, *data):
-        """Returns the socket of a client that has sent `data`, in a thread as the node may pause reading."""
+        """Returns the socket of a client that has sent `data`.
+
+        Sends in a thread, because the node may pause reading.
+        """
         sock = self.connect()
         await self.loop.run_in_executor(None, sock.sendall, b"".join(data))
         return sock
@@ -86,7 +89,7 @@
         await self.until(lambda: self.node.front_end.serving())
 
     async def attempt_delay_over(self):
-        """Waits for MAX_ATTEMPT_DELAY on the node's clock: all of its timers due before have run by then."""
+        """Waits for MAX_ATTEMPT_DELAY on the node's clock, so that all node timers due earlier have run."""
         over = self.loop.create_future()
         self.timers.after(MAX_ATTEMPT_DELAY, lambda: over.set_result(None))
         await over
@@ -99,7 +102,7 @@
 
 
 def run_in_process(act, *behaviours, gateway=None, **more):
-    """Runs `act(node, *backends)` with a node in this process that has these backends."""
+    """Runs the coroutine `act(node, *backends)` with a node in this process and a backend per behaviour."""
     backends = [b if isinstance(b, StandIn) else StandIn(b) for b in behaviours]
     members = [member(f"s-{n}", backend) for n, backend in enumerate(backends)]
     discovery = DiscoveryStandIn(members)
@@ -122,7 +125,7 @@
 
 
 def cut_or_reply(stand_in, sock, asked):
-    """Closes on a request with the id `cut`, never answers the id `held`, and answers all others."""
+    """Closes the connection on request id `cut`, never answers `held`, and answers all others."""
     if asked.headers["request-id"] == "cut":
         raise EOFError
     if asked.headers["request-id"] != "held":
@@ -146,12 +149,16 @@
             node.dispatcher.balancer,
             {"retry": "cut", "hedged": "held"}.get(which, "first"),
         )
-        chosen, begins, ends = asyncio.Event(), decisions.on_request, decisions.on_attempt_ended
+        chosen, real_on_request, real_on_ended = (
+            asyncio.Event(),
+            decisions.on_request,
+            decisions.on_attempt_ended,
+        )
 
         def send_after_close(number):
             leave(sock, how)
             node.dispatcher.send(number, "s-1", 5000)
-            decisions.on_request, decisions.on_attempt_ended = begins, ends
+            decisions.on_request, decisions.on_attempt_ended = real_on_request, real_on_ended
             chosen.set()
 
         def on_request(at, number, *rest):
@@ -159,9 +166,9 @@
                 return send_after_close(number)
             node.dispatcher.send(number, "s-0", 5000)
             if which == "hedged":
-                copies.append(number)
+                hedged_requests.append(number)
 
-        copies = []
+        hedged_requests = []
         decisions.on_request = on_request
         decisions.on_attempt_ended = (
             lambda at, number, *rest: send_after_close(number) if which == "retry" else None
@@ -170,7 +177,7 @@
         sock.sendall(request(timeout=8000, ident=ident))
         if which == "hedged":
             await node.until(lambda: ident in seen_request_ids(one))
-            send_after_close(copies[0])
+            send_after_close(hedged_requests[0])
         await asyncio.wait_for(chosen.wait(), 10)
         await node.until(lambda: not node.dispatcher.in_progress)
         assert (await node.answer(request(timeout=8000, ident="next"))).status == "200"
@@ -212,21 +219,21 @@
 def test_spilled_request_ends_when_client_closes_while_reading_is_paused(monkeypatch, tmp_path, cancel):
     """The other site sees this node close its connection, and so starts no further attempt."""
     monkeypatch.setattr(FrontEnd, "enforce_limits", lambda front_end: None)
-    ends = {}
+    spilled_connection = {}
 
     def gateway(stand_in, sock, asked):
         if asked.path == "/site":
             return reply(200, b'{"site": "b", "usable": 4, "hot": false}')(stand_in, sock, asked)
         if asked.headers.get("request-id") != "left":
             return reply(200, b"b", Server_Load="inflight=0")(stand_in, sock, asked)
-        ends["begun"] = sock
-        ends["seen"] = sock.recv(1)
+        spilled_connection["begun"] = sock
+        spilled_connection["seen"] = sock.recv(1)
 
     with closing(StandIn(gateway)) as other:
         path = tmp_path / "gateway.toml"
         quick = "beat_s = 0.1\nsilent_s = 5.0\nsteady_s = 0.1\ncalm_s = 9.0\n"
         path.write_text(f"site = 'a'\n{quick}[[sites]]\nname = 'b'\ngateways = ['{other.address}']\n")
-        told = load_gateway({"PROXY_GATEWAY": str(path)})
+        gateway_document = load_gateway({"PROXY_GATEWAY": str(path)})
 
         async def act(node, *backends):
             async def spilled():
@@ -237,7 +244,7 @@
             while not await spilled():
                 await asyncio.sleep(0.01)
             sock = await node.client_sending(request(timeout=8000, ident="left"), PIPELINED_REQUESTS)
-            await node.until(lambda: ends)
+            await node.until(lambda: spilled_connection)
             await node.until(
                 lambda: [c for c in node.node.front_end.clients if c.reading_paused and c.request]
             )
@@ -245,16 +252,16 @@
             await node.attempt_delay_over()
             calls = [attempt for proxied in node.dispatcher.in_progress.values() for attempt in proxied.calls]
             assert all(attempt is None or attempt.finished for attempt in calls)
-            await node.until(lambda: ends.get("seen") == b"")
+            await node.until(lambda: spilled_connection.get("seen") == b"")
 
-        run_in_process(act, reply(), gateway=told, settings_more=long_timeout_settings(cancel))
+        run_in_process(act, reply(), gateway=gateway_document, settings_more=long_timeout_settings(cancel))
 
 
 def test_no_retry_at_other_site_after_paused_client_closes(tmp_path):
     """Both sites are real nodes. The first attempt at the other breaks off 0.1 s after the client has closed.
 
-    The close reaches the other site through two hops and, before the fix, only after a periodic check: each
-    round then failed in 6 of 10 cases.
+    The close reaches the other site through two hops. While it was detected only by a periodic check, each
+    round failed in 6 of 10 cases.
     """
     gates = {}
 
@@ -296,18 +303,18 @@
 def start_jsonrpc(tmp_path):
     running = []
 
-    def start(*made_of, cancel=True):
-        found = [b if isinstance(b, StandIn) else JsonRpcBackend(b) for b in made_of]
-        members = [member(f"s-{n}", box) for n, box in enumerate(found)]
+    def start(*behaviours, cancel=True):
+        backends = [b if isinstance(b, StandIn) else JsonRpcBackend(b) for b in behaviours]
+        members = [member(f"s-{n}", backend) for n, backend in enumerate(backends)]
         discovery, listen = DiscoveryStandIn(members), own_address()
         path = tmp_path / "jsonrpc.toml"
         path.write_text(f"listen = '{listen}'\n[methods]\nload = 'read'\nsave = 'pay'\n")
-        made = document(discovery.address, members, settings_more=long_timeout_settings(cancel))
-        program = Program(tmp_path, made, PROXY_JSONRPC=str(path)).wait_ready()
-        running.extend([program, discovery, *found])
+        configuration = document(discovery.address, members, settings_more=long_timeout_settings(cancel))
+        program = Program(tmp_path, configuration, PROXY_JSONRPC=str(path)).wait_ready()
+        running.extend([program, discovery, *backends])
         wait_for(lambda: "listening for JSON-RPC" in program.log())
         program.address = tuple(listen.rsplit(":", 1))
-        return program, found
+        return program, backends
 
     yield start
     for started in running:
@@ -325,20 +332,23 @@
 
 
 def cut_once(gate):
-    """Cuts the first call of `turn` 1 as soon as the gate is open; answers all others."""
+    """Closes the connection on the first call of `turn` 1 once the gate is open; answers all others.
+
+    Sets `gate.begun` to the list of the calls of `turn` 1 so far.
+    """
 
-    def behave(box, asked):
+    def behave(backend, asked):
         if (asked.get("params") or {}).get("turn") != 1:
-            return echo(box, asked)
+            return echo(backend, asked)
         gate.wait(10)
-        return b"cut" if len(gate.begun) == 1 else echo(box, asked)
+        return b"cut" if len(gate.begun) == 1 else echo(backend, asked)
 
     gate.begun = []
 
-    def counted(box, asked):
+    def counted(backend, asked):
         if (asked.get("params") or {}).get("turn") == 1:
             gate.begun.append(asked)
-        return behave(box, asked)
+        return behave(backend, asked)
 
     return counted
 
@@ -360,7 +370,7 @@
 
 @pytest.mark.parametrize("how", ["fin", "rst"])
 def test_jsonrpc_call_is_not_sent_when_client_closed_while_process_was_stopped(start_jsonrpc, how):
-    program, [box] = start_jsonrpc(echo)
+    program, [backend] = start_jsonrpc(echo)
     sock, _ = client_sending(program, line("load", 1, turn=0))
     with sock.makefile("rb") as source:
         assert json.loads(source.readline())["result"] == {"turn": 0}
@@ -369,7 +379,7 @@
         leave(sock, how)
         time.sleep(0.3)
     assert jsonrpc_response(program, line("load", 1, turn=2))["result"] == {"turn": 2}
-    assert [params for _, params in box.runs] == ['{"turn": 0}', '{"turn": 2}']
+    assert [params for _, params in backend.runs] == ['{"turn": 0}', '{"turn": 2}']
 
 
 def test_jsonrpc_call_waiting_for_connection_is_not_sent_after_client_closes(start_jsonrpc):
--- a/tests/test_quota_leases.py
+++ b/tests/test_quota_leases.py
@@ -97,12 +97,14 @@
 
 
 class NoDrift(Bounds):
+    """Bounds in which the longest use of a grant by a node leaves out clock drift."""
+
     def max_remote_grant_duration(self):
         return self.grant_duration
 
 
 def grants_returned(fleet):
-    """Nodes repeatedly stand by for a moment, on slow links."""
+    """Busy nodes repeatedly return their grants and soon accept new ones, on slow links."""
     fleet.delay = (2, fleet.bounds.grant_duration // 3)
     for number in range(40):
         hot, other = fleet.rng.sample(fleet.names, 2)
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -39,8 +39,8 @@
     ],
 )  # fmt: skip
 def test_spill_is_offered_only_with_too_few_backends_or_too_much_shedding(fault, offers):
-    two = TwoSites().run(10).run(**fault)
-    assert bool(two.links()) == two.sites.offering == offers
+    site = TwoSites().run(10).run(**fault)
+    assert bool(site.links()) == site.sites.offering == offers
 
 
 def test_links_equal_the_usable_backends_of_the_other_site_spread_over_its_gateways():
@@ -50,17 +50,17 @@
 
 
 def test_spill_ends_after_calm_time_and_not_at_first_recovered_heartbeat():
-    two = TwoSites().run(10).run(usable=0)
-    assert two.run(5).links()
-    assert not two.run(3).links()
-    assert [line.split(":")[0] for line in two.lines] == ["spill offered", "spill ended"]
+    site = TwoSites().run(10).run(usable=0)
+    assert site.run(5).links()
+    assert not site.run(3).links()
+    assert [line.split(":")[0] for line in site.lines] == ["spill offered", "spill ended"]
 
 
 @pytest.mark.parametrize(
     "b", [Report(6, True), Report(0, False), None],
     ids=["a hot site", "a site without backends", "a silent site"],
 )  # fmt: skip
-def test_no_link_to(b):
+def test_no_link_to_unusable_site(b):
     assert not TwoSites().run(10).run(6, usable=0, b=b).links()
 
 
@@ -70,12 +70,12 @@
 
 
 def test_failed_gateway_is_used_again_only_after_stable_time():
-    two = TwoSites().run(10).run(usable=0)
+    site = TwoSites().run(10).run(usable=0)
     for name in ("b0", "b1"):
-        two.sites.on_failed(two.now, name)
-    assert not two.links()
-    assert not two.run(2, usable=0).links()
-    assert two.run(4, usable=0).links()
+        site.sites.on_failed(site.now, name)
+    assert not site.links()
+    assert not site.run(2, usable=0).links()
+    assert site.run(4, usable=0).links()
 
 
 @pytest.mark.parametrize(
@@ -88,9 +88,9 @@
 def test_spilled_request_accepted_only_at_first_hop_within_capacity_and_not_at_a_hot_site(
     hops, local, in_progress, accepted
 ):
-    two = TwoSites().run(10).run(**local)
-    two.sites.in_progress = in_progress
-    assert two.sites.accepts(hops) == accepted
+    site = TwoSites().run(10).run(**local)
+    site.sites.in_progress = in_progress
+    assert site.sites.accepts(hops) == accepted
 
 
 def test_two_hot_sites_neither_send_nor_accept_spill():
@@ -100,27 +100,27 @@
 
 
 def test_spilled_request_is_not_forwarded_to_another_site():
-    made, host = node([listed("s-0"), listed("site:b:0", zone=1)], **{"zones": ["a"]})
-    made.on_request(NOW, 1, 0, 0, 8000, False, True)
+    balancer, host = node([listed("s-0"), listed("site:b:0", zone=1)], **{"zones": ["a"]})
+    balancer.on_request(NOW, 1, 0, 0, 8000, False, True)
     [sent] = host.take("send")
     assert sent[2] == "s-0"
-    made.on_attempt_ended(NOW, 1, 0, Outcome.REJECTED, 10, False, None)
+    balancer.on_attempt_ended(NOW, 1, 0, Outcome.REJECTED, 10, False, None)
     assert all(call[2] == "s-0" for call in host.take("send"))
 
 
 def test_with_links_alone_spilled_request_is_shed_and_local_request_is_spilled():
-    made, host = node([listed("site:b:0", zone=1)], **{"zones": ["a"]})
-    made.on_request(NOW, 1, 0, 0, 8000, False, True)
-    made.on_request(NOW, 2, 0, 0, 8000, False)
+    balancer, host = node([listed("site:b:0", zone=1)], **{"zones": ["a"]})
+    balancer.on_request(NOW, 1, 0, 0, 8000, False, True)
+    balancer.on_request(NOW, 2, 0, 0, 8000, False)
     assert [call[1] for call in host.take("send")] == [2]
-    made.on_wake(NOW + 3000, "due")
+    balancer.on_wake(NOW + 3000, "due")
     assert ("shed", 1, 0) in host.take("shed")
 
 
 def test_local_state_does_not_count_links():
-    made, _ = node([listed("s-0"), listed("s-1"), listed("site:b:0", zone=1)], **{"zones": ["a"]})
-    made.backends["s-1"].outlier.ejected_until = NOW + SECOND
-    assert local_state(made, NOW)[:2] == (1, 2)
+    balancer, _ = node([listed("s-0"), listed("s-1"), listed("site:b:0", zone=1)], **{"zones": ["a"]})
+    balancer.backends["s-1"].outlier.ejected_until = NOW + SECOND
+    assert local_state(balancer, NOW)[:2] == (1, 2)
 
 
 def test_no_spill_before_first_endpoint_list_and_spill_throughout_a_long_outage():
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -152,7 +152,11 @@
 
 @pytest.fixture(scope="module")
 def start_record(tmp_path_factory):
-    """Starts a node. Returns its loaded modules, its opened files, and what the libraries load alone."""
+    """Starts a node and ends it.
+
+    Returns the modules that it loaded, the paths that it opened, the modules that the libraries load by
+    themselves, and the node's folder.
+    """
     folder = tmp_path_factory.mktemp("start")
     packages = make_environment(folder)
     record, path = folder / "record.json", folder / "config.json"
--- a/tests/test_wire_forms.py
+++ b/tests/test_wire_forms.py
@@ -435,7 +435,7 @@
     hint_file = HintFile("fleet-1", str(tmp_path), run_now, logged.append)
     path.write_bytes(bytes.fromhex(HINT_FILE_HEX))
     hint = hint_file.read()
-    verdicts = {(one.kind, one.subject): one for one in VERDICTS}
+    verdicts = {(verdict.kind, verdict.subject): verdict for verdict in VERDICTS}
     assert (hint.term, hint.version, hint.verdicts) == (65537, 300, verdicts)
     assert hint.digest.hex() == "d2c780131848fdf0617e6121d9befaf0"
     path.unlink()
@@ -474,11 +474,13 @@
 
 def test_node_file_format_unchanged():
     """Guards against a node without a catalogue after an upgrade, until a relay answers."""
-    tag, made = "fleet-1\0\0shop", Catalogue(2, [ROUTE, LIMIT])
-    assert made.digest().hex() == DIGESTS[2]  # without the tenant
+    tag, stored = "fleet-1\0\0shop", Catalogue(2, [ROUTE, LIMIT])
+    assert stored.digest().hex() == DIGESTS[2]  # without the tenant
     read = store.from_bytes(tag, bytes.fromhex(NODE_FILE))
     assert (read.version, read.all_entries()) == (2, [ROUTE, LIMIT])
-    assert store.to_bytes(tag, 2, made.entries_in(("shop",)), made.digest_of(("shop",))).hex() == NODE_FILE
+    assert (
+        store.to_bytes(tag, 2, stored.entries_in(("shop",)), stored.digest_of(("shop",))).hex() == NODE_FILE
+    )
 
 
 @pytest.mark.parametrize(("kind", "fields"), FILE_FIELDS.items())
@@ -492,8 +494,8 @@
     bits = [24, 106, 161, 335, 363, 500, 564, 637, 672, 774, 793, 901, 911, 1022]
     data = sum(1 << bit for bit in bits).to_bytes(128, "little")
     names = ["tenant-1", "tenant-2"]
-    made, read = BloomFilter.of_names(names), BloomFilter(bytearray(data), 7)
-    assert (bytes(made.bits), made.hashes) == (data, 7)
+    built, read = BloomFilter.of_names(names), BloomFilter(bytearray(data), 7)
+    assert (bytes(built.bits), built.hashes) == (data, 7)
     assert all(name in read for name in names) and "tenant-3" not in read
 
 
@@ -538,6 +540,6 @@
     """Guards against a site of another version that spills an already spilled request again."""
     sites = SimpleNamespace(round_trip_to=lambda gateway: 30)
     at_west = SimpleNamespace(own_site="west", links={"site:east:0": "east/0"}, sites=sites)
-    marks = b"Site-Hops: 1\r\nSite-From: west\r\n"
-    assert Links.headers_for(at_west, "site:east:0", 1000) == (marks, 970)
+    headers = b"Site-Hops: 1\r\nSite-From: west\r\n"
+    assert Links.headers_for(at_west, "site:east:0", 1000) == (headers, 970)
     assert Links.headers_for(at_west, "backend-1", 1000) == (b"", 1000)
