--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -110,7 +110,7 @@
     return set(statuses) <= {"200", "503"} and statuses.count("200") >= part * len(statuses)
 
 
-# 300 descriptors are the control; with 64 the process ran out before it reserved descriptors for itself.
+# 300 descriptors are the control; with 64, a process that reserves none for itself runs out.
 @pytest.mark.parametrize(
     ("sockets", "how"), [(64, "says nothing"), (64, "refuses"), (300, "says nothing"), (300, "refuses")]
 )
@@ -126,14 +126,14 @@
     idle_clients = IdleClients(program, 3 * sockets)
     wait_for(lambda: open_descriptors(program) > sockets // 2)
     time.sleep(3)
-    after, answers = request_through_drain(program, agent, "a")
+    learnt_after_s, answers = request_through_drain(program, agent, "a")
     log = program.log()
     lines = log.count("\n")
     idle_clients.leave()
-    print(f"sockets {sockets}, discovery {how}: known after {after:.2f} s, most answers",
+    print(f"sockets {sockets}, discovery {how}: known after {learnt_after_s:.2f} s, most answers",
           {status: answers.count(status) for status in set(answers)},
           f"{idle_clients.connections_made} clients")  # fmt: skip
-    assert after <= MAX_LEARNING_S, log[-2000:]
+    assert learnt_after_s <= MAX_LEARNING_S, log[-2000:]
     assert mostly_answered(answers)
     assert "Too many open files" not in log and "no connection" not in log
     wait_for_descriptors(program, idle + 2)  # two backends are connected instead of one
@@ -159,11 +159,11 @@
     wait_for(lambda: open_descriptors(program) > sockets // 2)
     folder = tmp_path / "next"
     folder.mkdir()
-    own = environment | {"PROXY_ADMIN": own_address()}
-    after = Program(folder, program.made, sockets, **own)
-    with contextlib.closing(after):
-        wait_for(lambda: at(after, "status").startswith("SUCCESS"))
-        wait_for(lambda: open_descriptors(program) + open_descriptors(after) <= sockets, 5)
+    own_environment = environment | {"PROXY_ADMIN": own_address()}
+    successor = Program(folder, program.made, sockets, **own_environment)
+    with contextlib.closing(successor):
+        wait_for(lambda: at(successor, "status").startswith("SUCCESS"))
+        wait_for(lambda: open_descriptors(program) + open_descriptors(successor) <= sockets, 5)
         first_learnt, answers = request_through_drain(program, agent, "a")
         # Either process may accept a connection, so both are covered by 8 answers in a row.
         both_learnt = first_learnt
@@ -171,16 +171,16 @@
             program.ask(request(ident=f"{both_learnt}-{n}")).body for n in range(8)
         } != {b"2"}:
             both_learnt = time.monotonic() - agent.reachable
-        total = open_descriptors(program) + open_descriptors(after)
+        total = open_descriptors(program) + open_descriptors(successor)
         idle_clients.leave()
         print(f"two processes, sockets {sockets}: known after {first_learnt:.2f} and {both_learnt:.2f} s",
               {status: answers.count(status) for status in set(answers)})  # fmt: skip
-        assert both_learnt <= MAX_LEARNING_S, (program.log()[-1000:], after.log()[-1000:])
+        assert both_learnt <= MAX_LEARNING_S, (program.log()[-1000:], successor.log()[-1000:])
         assert mostly_answered(answers, 0.9) and total <= sockets  # each process has half of the limit
         wait_for_descriptors(program, idle + 4)
-        wait_for_descriptors(after, idle + 4)
+        wait_for_descriptors(successor, idle + 4)
         program.process.terminate()
         assert program.process.wait(8) == 0
-        assert after.ask(request(ident="last")).body == b"2"
-        for log in (program.log(), after.log()):
+        assert successor.ask(request(ident="last")).body == b"2"
+        for log in (program.log(), successor.log()):
             assert "Too many open files" not in log
--- a/tests/test_distributed.py
+++ b/tests/test_distributed.py
@@ -40,6 +40,8 @@
 
 
 class Relay:
+    """A relay process with a folder and a configuration file of its own."""
+
     def __init__(self, folder, name, listen, voters, **more):
         self.folder, self.name, self.address, self.admin = folder / name, name, listen, own_address()
         self.folder.mkdir()
@@ -142,9 +144,9 @@
 def test_invalid_node_file_rejected_naming_the_key(tmp_path, more, error_text):
     path = tmp_path / "distribution.toml"
     path.write_text(toml(TIMES | {"fleet": FLEET, "seeds": ["127.0.0.1:1"]} | more))
-    with pytest.raises(ConfigurationError) as wrong:
+    with pytest.raises(ConfigurationError) as raised:
         load_distribution({"PROXY_DISTRIBUTION": str(path)})
-    assert str(path) in str(wrong.value) and error_text in str(wrong.value)
+    assert str(path) in str(raised.value) and error_text in str(raised.value)
 
 
 VOTER = {"address": "127.0.0.1:1", "register": "127.0.0.1:2"}
@@ -166,15 +168,15 @@
     path.write_text(toml(usual))
     assert load_relay(str(path)).name == "r0"
     path.write_text(toml(usual | more))
-    with pytest.raises(ConfigurationError) as wrong:
+    with pytest.raises(ConfigurationError) as raised:
         load_relay(str(path))
-    assert str(path) in str(wrong.value) and error_text in str(wrong.value)
+    assert str(path) in str(raised.value) and error_text in str(raised.value)
 
 
 def test_distribution_not_imported_without_its_file():
-    looks = "import sys, basalthoist.__main__, basalthoist.net.service, basalthoist.net.control.fleet\n"
-    looks += "sys.exit(any('distribution' in name for name in sys.modules))"
-    assert subprocess.run([sys.executable, "-c", looks]).returncode == 0
+    code = "import sys, basalthoist.__main__, basalthoist.net.service, basalthoist.net.control.fleet\n"
+    code += "sys.exit(any('distribution' in name for name in sys.modules))"
+    assert subprocess.run([sys.executable, "-c", code]).returncode == 0
 
 
 def test_programs_exit_with_code_2_on_invalid_file(start, tmp_path):
@@ -254,9 +256,9 @@
     from basalthoist.net.control.catalogue_files import entry_of
 
     catalogue = Catalogue(1, [Entry("service", "shop", "shop")])
-    with pytest.raises(EntryError) as wrong:
+    with pytest.raises(EntryError) as raised:
         check_entries([entry_of(subject, json.dumps(body))], catalogue.get, catalogue)
-    assert f"FAILURE {wrong.value}".startswith(expected)
+    assert f"FAILURE {raised.value}".startswith(expected)
 
 
 def test_invalid_change_rejected_naming_the_key_without_new_version(control, node):
@@ -362,15 +364,15 @@
     for number, relay in enumerate(control.relays):
         control.set(f"relay/r{number}", address=relay.address, region="a")
     assert acts_on_version(program, 4)
-    by = config_here(program).split(" by ")[1].split(",")[0]
-    [own] = [relay for relay in control.relays if relay.address == by]
-    own.kill()
-    left = [relay for relay in control.relays if relay is not own]
-    wait_for(lambda: "SUCCESS version 5 in force" in left[0].operator_call("config-set service/shop {}"))
-    wait_for(lambda: acts_on_version(program, 5) and by not in config_here(program), 5)
+    relay_address = config_here(program).split(" by ")[1].split(",")[0]
+    [killed] = [relay for relay in control.relays if relay.address == relay_address]
+    killed.kill()
+    remaining = [relay for relay in control.relays if relay is not killed]
+    wait_for(lambda: "SUCCESS version 5 in force" in remaining[0].operator_call("config-set service/shop {}"))
+    wait_for(lambda: acts_on_version(program, 5) and relay_address not in config_here(program), 5)
     assert program.ask(request()).status == "200"
-    own.begin()
-    wait_for(lambda: own.operator_call("config-status").startswith("SUCCESS author"), 10)
+    killed.begin()
+    wait_for(lambda: killed.operator_call("config-status").startswith("SUCCESS author"), 10)
 
 
 def test_uncached_tenant_served_at_once_and_removed_tenant_rejected(control, node):
@@ -396,11 +398,13 @@
     wait_for(lambda: hint_file.exists() and acts_on_version(program, 2))
     time.sleep(1.2)  # the file is written within a second after a change
     intact = hint_file.read_bytes()
-    made, environment = program.made, program.environment
+    configuration, environment = program.made, program.environment
     for data, message in ((intact[: len(intact) // 2], "damaged"), (b"", "damaged"), (intact, "")):
         program.close()
         hint_file.write_bytes(data)
-        program = Program(tmp_path, made, **{k: v for k, v in environment.items() if k[:4] != "PATH"})
+        program = Program(
+            tmp_path, configuration, **{k: v for k, v in environment.items() if k[:4] != "PATH"}
+        )
         try:
             program.wait_ready()
             assert ("not used: damaged" in program.log()) == bool(message), program.log()
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -1,4 +1,4 @@
-"""Tests with system calls that fail with the errors documented in their manual pages: docs/terms-audit.md."""
+"""Tests with system calls that fail with errors documented in their manual pages. See docs/terms-audit.md."""
 
 import errno
 import json
@@ -71,16 +71,16 @@
     program, backends, _ = start(*[reply_and_close] * 4, environment=faults.environment)
     send_requests(program, 0.3, "before")
     faults.set(**{f"{call_name}_errno": getattr(errno, name)})
-    found = []
+    statuses = []
     clients = [
-        threading.Thread(target=lambda n=n: found.extend(send_requests(program, 0.6, n))) for n in range(8)
+        threading.Thread(target=lambda n=n: statuses.extend(send_requests(program, 0.6, n))) for n in range(8)
     ]
     for client in clients:
         client.start()
     for client in clients:
         client.join()
     faults.clear()
-    assert set(found) <= {"200", "503"}
+    assert set(statuses) <= {"200", "503"}
     assert "ejected s-" not in program.log()
     seen = [len(backend.seen) for backend in backends]
     assert set(send_requests(program, 1.0, "after")[20:]) == {"200"}
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -119,7 +119,7 @@
     assert program.process.wait(5) == 0
 
 
-def test_requests_behind_one_another_are_all_answered_at_the_end(upgradable):
+def test_pipelined_requests_at_predecessor_are_answered_after_sigterm(upgradable):
     program, (backend,), start_successor = upgradable(silent)
     with program.connect() as sock, sock.makefile("rb") as source:
         sock.sendall(request(ident="1", timeout=3000) + request(ident="2", timeout=3000))
@@ -204,14 +204,14 @@
     # socket of its own, and requests in its queue may be lost when it ends.
     program, _, start_successor = upgradable(reply(), limits=QUICK | {"succession_s": 10})
     load = Load(program)
-    both = [start_successor(wait=False), start_successor(wait=False)]
-    for successor in both:
+    successors = [start_successor(wait=False), start_successor(wait=False)]
+    for successor in successors:
         wait_for(lambda successor=successor: at(successor, "status").startswith("SUCCESS"))
-    for leaving in (program, both[0]):
+    for leaving in (program, successors[0]):
         leaving.process.terminate()
         assert leaving.process.wait(5) == 0
     assert set(load.end()) == {"200"}
-    assert at(both[1], "status").startswith("SUCCESS")
+    assert at(successors[1], "status").startswith("SUCCESS")
 
 
 def test_draining_predecessor_accepts_clients_if_its_socket_is_not_shared(upgradable, tmp_path):
@@ -309,7 +309,7 @@
         for _ in range(150):
             stack.enter_context(program.connect())
         successor = start_successor()
-        wait_for(lambda: open_descriptors(program) < 100)  # Without further connections.
+        wait_for(lambda: open_descriptors(program) < 100)  # No further connections arrive meanwhile.
         for _ in range(150):
             stack.enter_context(program.connect())
         time.sleep(0.3)
@@ -324,20 +324,20 @@
 
 
 def test_successor_sends_gossip_once_peer_address_is_free(upgradable):
-    own, other, before = own_address(), own_address(), own_address()
+    successor_address, other, predecessor_address = own_address(), own_address(), own_address()
     datagrams = (socket.AF_INET, socket.SOCK_DGRAM)
     with socket.socket(*datagrams) as peer, socket.socket(*datagrams) as occupant:
-        occupant.bind(address_of(own))
+        occupant.bind(address_of(successor_address))
         peer.bind(address_of(other))
         peer.settimeout(5)
         limits = {"connect_timeout": 200000, "keepalive": 10000000, "max_upstream_tries": 3, "peers": True}
         more = {"siblings": 2, "policy_limits": limits}
         program, _, start_successor = upgradable(
-            reply(), peer_listen=before, peers=[before, other], settings_more=more
+            reply(), peer_listen=predecessor_address, peers=[predecessor_address, other], settings_more=more
         )
         program.ask(request())
         assert peer.recv(300)
-        successor = start_successor(peer_listen=own, peers=[own, other])
+        successor = start_successor(peer_listen=successor_address, peers=[successor_address, other])
         program.process.terminate()
         assert program.process.wait(5) == 0
         wait_for(lambda: "(predecessor) has ended" in successor.log())
@@ -347,7 +347,7 @@
         def successor_sent_gossip():
             successor.ask(request())
             with contextlib.suppress(TimeoutError):
-                return peer.recvfrom(300)[1] == address_of(own)
+                return peer.recvfrom(300)[1] == address_of(successor_address)
 
         peer.settimeout(0.2)
         with contextlib.suppress(TimeoutError):
--- a/tests/test_shadow.py
+++ b/tests/test_shadow.py
@@ -33,9 +33,9 @@
     real = Balancer(host, 7, settings(), NOW)
     shadow = Shadow(real, 7, settings() | shadow_settings, NOW)
 
-    def event(name, now, *what):
-        getattr(real, name)(now, *what)
-        shadow.on_event(name, now, *what)
+    def event(name, now, *arguments):
+        getattr(real, name)(now, *arguments)
+        shadow.on_event(name, now, *arguments)
 
     event("on_endpoint_list", NOW, entries, True)
     return host, event, shadow
@@ -121,8 +121,8 @@
         return program.wait_ready(), backends
 
     yield begin
-    for one in running:
-        one.close()
+    for started in running:
+        started.close()
 
 
 def counts_in(log):
--- a/tests/test_simulator_codec.py
+++ b/tests/test_simulator_codec.py
@@ -1,3 +1,5 @@
+"""The simulator adapter: batches, outcomes, malformed input and exceptions in a node."""
+
 import io
 
 import pytest
