--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -32,9 +32,9 @@
         backends = [b if isinstance(b, str | StandIn) else StandIn(b) for b in behaviours]
         entries = [member(f"s-{i}", b) for i, b in enumerate(backends)]
         discovery = agent or DiscoveryStandIn(entries if listed else [], mute, close_after_answer)
-        made = document(discovery.address, entries if known is None else known, **more)
+        configuration = document(discovery.address, entries if known is None else known, **more)
         environment = {v: discovery.address for v in told} | (environment or {})
-        program = Program(tmp_path, made, files, **environment)
+        program = Program(tmp_path, configuration, files, **environment)
         running.extend([b for b in backends if not isinstance(b, str)] + [discovery])
         running.append(program)
         return (program.wait_ready() if wait else program), backends, discovery
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -52,9 +52,9 @@
 
 def node(entries, now=NOW, seed=7, **kw):
     host = RecordingHost()
-    made = Balancer(host, seed, settings(**kw), now)
-    made.on_endpoint_list(now, entries, True)
-    return made, host
+    balancer = Balancer(host, seed, settings(**kw), now)
+    balancer.on_endpoint_list(now, entries, True)
+    return balancer, host
 
 
 # Stand-in servers, and helpers that start the program and send it requests over sockets.
@@ -205,13 +205,13 @@
     kinds = ("read", "idempotent", False), ("pay", "at_most_once", False), ("feed", "idempotent", True)
     routes = [usual | {"name": n, "semantics": s, "streaming": streamed} for n, s, streamed in kinds]
     limits = {"connect_timeout": 200000, "keepalive": 10000000, "max_upstream_tries": 3, "cancel": True}
-    made = {"name": "n0", "seed": "5f", "listen": own_address(), "discovery": discovery,
+    configuration = {"name": "n0", "seed": "5f", "listen": own_address(), "discovery": discovery,
             "known": {"revision": revision, "complete": True, "members": list(known)}, "settings": {
                 "routes": routes, "accounts": [{"name": "acme", "quota_per_s": 1000.0}], "zones": ["a"],
                 "kinds": ["m"], "zone": 0, "siblings": 1, "policy_limits": limits, "tick": 1000,
                 "discovery": "pushed"}}  # fmt: skip
-    made["settings"] |= settings_more or {}
-    return made | more
+    configuration["settings"] |= settings_more or {}
+    return configuration | more
 
 
 class Program:
@@ -285,9 +285,9 @@
     try:
         if sock.fileno() < 0:
             return True
-        looked = select.poll()
-        looked.register(sock, select.POLLIN)
-        return bool(looked.poll(0)) and sock.recv(1, socket.MSG_PEEK) == b""
+        poller = select.poll()
+        poller.register(sock, select.POLLIN)
+        return bool(poller.poll(0)) and sock.recv(1, socket.MSG_PEEK) == b""
     except OSError:
         return True
 
@@ -296,9 +296,9 @@
     return b"".join(iter(source.readline, b"\r\n"))
 
 
-def wait_for(true, seconds=10):
+def wait_for(condition, seconds=10):
     end = time.monotonic() + seconds
-    while not (found := true()):
+    while not (found := condition()):
         assert time.monotonic() < end, f"condition not met within {seconds} s"
         time.sleep(0.005)
     return found
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -203,9 +203,9 @@
 def program(tmp_path, peer):
     backend = StandIn(reply(200, b"done", Server_Load="inflight=1"))
     discovery = DiscoveryStandIn([member("s-0", backend)])
-    own = own_address()
-    configuration = document(discovery.address, [member("s-0", backend)], peer_listen=own,
-                             peers=[own, "{}:{}".format(*peer.getsockname())])  # fmt: skip
+    gossip_address = own_address()
+    configuration = document(discovery.address, [member("s-0", backend)], peer_listen=gossip_address,
+                             peers=[gossip_address, "{}:{}".format(*peer.getsockname())])  # fmt: skip
     settings = configuration["settings"]
     settings["siblings"], settings["prices"] = 2, {"probe": 0.08, "peer": 0.01}
     settings["policy_limits"] |= {"peers": True, "probes": True}
@@ -224,11 +224,11 @@
 
 
 def test_malformed_datagrams_and_strangers_are_only_logged(program, peer):
-    to = address_of(program.made["peer_listen"])
+    gossip_address = address_of(program.made["peer_listen"])
     for data in (b"", b"\xff" * 300, b"\x01\x00", b"\x00" * 4):
-        peer.sendto(data, to)
+        peer.sendto(data, gossip_address)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
-        stranger.sendto(encode([(GossipKind.EJECTED, 1, 0)]), to)
+        stranger.sendto(encode([(GossipKind.EJECTED, 1, 0)]), gossip_address)
     wait_for(lambda: "malformed" in program.log() and "stranger" in program.log())
     assert program.ask(request()).status == "200"
 
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -90,9 +90,9 @@
         short.sendall(request("pay", body=body[:50_000], ident="3")[:20_000])
         send_in_pieces(sock, request("pay", body=body), 16_000, 0.24)  # takes 3 s
         assert read_message(sock.makefile("rb")).status == "200"
-        for one in (stopped, short):
+        for incomplete in (stopped, short):
             with contextlib.suppress(ConnectionResetError):
-                one.recv(1000)
+                incomplete.recv(1000)
         assert 2 < time.monotonic() - began < 6
     assert completed_request_ids(backend) == ["1"]
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,3 +1,5 @@
+"""Decisions of the balancer: retries, slow start, requests over quota and shedding."""
+
 import pytest
 from helpers import NOW, listed, node
 
@@ -146,11 +148,11 @@
 
 def test_retry_of_shed_surplus_counts_as_surplus():
     balancer, _ = node([listed("a")], tenants__count=1, **{"tenants__0__quota_per_s": 1.0})
-    marks = []
+    surplus_flags = []
     for ident, is_retry in enumerate([False] * 6 + [True]):
         balancer.on_request(NOW, ident, 0, 0, 8000, is_retry)
-        marks.append(balancer.requests[ident].surplus if ident in balancer.requests else None)
-    assert marks[-1] is not False
+        surplus_flags.append(balancer.requests[ident].surplus if ident in balancer.requests else None)
+    assert surplus_flags[-1] is not False
 
 
 def test_rejection_by_a_full_backend_adds_a_slow_sample():
@@ -168,8 +170,10 @@
 def test_random_bursts_at_a_small_node_are_not_surplus(gap, surplus):
     balancer, _ = node([listed("a")], tenants__count=1, **{"tenants__0__quota_per_s": 0.4})  # two nodes
     times = [NOW + int(gap * 50_000 * (i - i % 3)) for i in range(24)]  # in groups of three
-    marks = [balancer.quotas.tenants[0].take(at, False, balancer.quotas.node_fraction) for at in times]
-    assert (marks.count(False) > 4) is surplus
+    surplus_flags = [
+        balancer.quotas.tenants[0].take(at, False, balancer.quotas.node_fraction) for at in times
+    ]
+    assert (surplus_flags.count(False) > 4) is surplus
 
 
 def test_shedding_in_quota_lowers_the_admitted_surplus():
